--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallOutlook, RunPlan, RunRefusal};
+use umberpond_scheduling::{CallEnd, CallFailureEstimator, RunPlan, RunRefusal};
 
 use crate::clock::now;
 use crate::outbound::{Reply, ReplyReason};
@@ -12,7 +12,7 @@
 /// How the calls fare that the back end beside this node makes, and which of its runs may begin.
 #[derive(Debug, Default)]
 pub(crate) struct CallGate {
-    outlook: Mutex<CallOutlook>,
+    outlook: Mutex<CallFailureEstimator>,
 }
 
 impl CallGate {
--- a/crates/scheduling/src/call_outlook.rs
+++ b/crates/scheduling/src/call_outlook.rs
@@ -123,13 +123,13 @@
 
 /// How the calls of the runs at one back end fare.
 #[derive(Debug, Default)]
-pub struct CallOutlook {
+pub struct CallFailureEstimator {
     /// By called service, and rank and band of levels of the run.
     treatments: BTreeMap<(ServiceName, u8, usize), Treatment>,
     routes: BTreeMap<u32, RouteRuns>,
 }
 
-impl CallOutlook {
+impl CallFailureEstimator {
     /// Takes in how a call to `service` ended that a run of `rank` and `level` made.
     pub fn record_call(
         &mut self,
--- a/crates/scheduling/tests/call_outlook.rs
+++ b/crates/scheduling/tests/call_outlook.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallLevel, CallOutlook, RunPlan};
+use umberpond_scheduling::{CallEnd, CallFailureEstimator, CallLevel, RunPlan};
 
 const ROUTE: u32 = 7;
 const RANK: u8 = 1;
@@ -17,13 +17,13 @@
 /// A node whose runs make `count` calls each to one service.
 struct Node {
     now: Instant,
-    outlook: CallOutlook,
+    outlook: CallFailureEstimator,
     calls: Vec<(ServiceName, f64)>,
 }
 
 impl Node {
     fn new(count: f64) -> Self {
-        let mut outlook = CallOutlook::default();
+        let mut outlook = CallFailureEstimator::default();
         outlook.record_run(ROUTE, true);
         Self { now: Instant::now(), outlook, calls: vec![(ledger(), count)] }
     }
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -7,8 +7,8 @@
 
 use umberpond_model::ServiceName;
 use umberpond_scheduling::{
-    CallEnd, CallLevel, CallOutlook, Decision, Dependent, RunPlan, Started, Ticket, WaitBounds, WorkItem,
-    WorkQueue,
+    CallEnd, CallFailureEstimator, CallLevel, Decision, Dependent, RunPlan, Started, Ticket, WaitBounds,
+    WorkItem, WorkQueue,
 };
 
 /// Slots of one queue.
@@ -87,7 +87,7 @@
     sequence: u64,
     services: Vec<Vec<WorkQueue>>,
     /// How the calls of the runs at each queue fare.
-    outlooks: HashMap<(usize, usize), CallOutlook>,
+    outlooks: HashMap<(usize, usize), CallFailureEstimator>,
     requests: Vec<Request>,
     waiting: HashMap<(usize, usize, Ticket), usize>,
     /// Time in the slot in the mean, in milliseconds.
