--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallFailureEstimator, RunPlan, RunRefusal};
+use umberpond_scheduling::{CallEnd, CallFailureEstimator, PendingRun, RunRefusal};
 
 use crate::clock::now;
 use crate::outbound::{Reply, ReplyReason};
@@ -31,7 +31,7 @@
     ///
     /// # Errors
     /// Returns [`RunRefusal`] if it is better refused.
-    pub(crate) fn begin_run(&self, plan: &RunPlan<'_>) -> Result<(), RunRefusal> {
+    pub(crate) fn begin_run(&self, plan: &PendingRun<'_>) -> Result<(), RunRefusal> {
         self.outlook.lock().begin_run(now(), plan)
     }
 }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use umberpond_http1::Fields;
 use umberpond_quarantine::Standing;
-use umberpond_scheduling::{Refusal, RunPlan, WorkItem};
+use umberpond_scheduling::{PendingRun, Refusal, WorkItem};
 use umberpond_telemetry::Event;
 
 use super::admission::Permit;
@@ -148,8 +148,12 @@
         if calls.is_empty() || !self.admission.is_slot_wanted() {
             return Ok(());
         }
-        let plan =
-            RunPlan { route: attempt.route, rank: attempt.priority, level: attempt.level(), calls: &calls };
+        let plan = PendingRun {
+            route: attempt.route,
+            rank: attempt.priority,
+            level: attempt.level(),
+            calls: &calls,
+        };
         let Err(refusal) = self.calls.begin_run(&plan) else { return Ok(()) };
         self.telemetry.emit(Event::RunWithheld {
             request: id_text(&attempt.id),
--- a/crates/scheduling/src/call_outlook.rs
+++ b/crates/scheduling/src/call_outlook.rs
@@ -38,7 +38,7 @@
 
 /// A run that is about to begin.
 #[derive(Debug, Clone, Copy)]
-pub struct RunPlan<'a> {
+pub struct PendingRun<'a> {
     /// Its route, by the hash of the name.
     pub route: u32,
     /// Its rank, which its calls take over.
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     /// Returns [`RunRefusal`] if it is better refused.
-    pub fn begin_run(&mut self, now: Instant, plan: &RunPlan<'_>) -> Result<(), RunRefusal> {
+    pub fn begin_run(&mut self, now: Instant, plan: &PendingRun<'_>) -> Result<(), RunRefusal> {
         let prospect = self.prospect(now, plan);
         let share = prospect.refused_share();
         let runs = self.routes.entry(plan.route).or_default();
@@ -167,7 +167,7 @@
         Err(RunRefusal { called, failing: prospect.for_any, come_back: HALF_LIFE.mul_f64(share) })
     }
 
-    fn prospect(&self, now: Instant, plan: &RunPlan<'_>) -> Prospect {
+    fn prospect(&self, now: Instant, plan: &PendingRun<'_>) -> Prospect {
         let (mut gets_room, mut gets_all) = (1.0, 1.0);
         for (service, count) in plan.calls {
             let (no_room, any) = self.shares(now, service, plan);
@@ -179,13 +179,13 @@
         Prospect { for_room: calling * (1.0 - gets_room), for_any: calling * (1.0 - gets_all) }
     }
 
-    fn most_refusing(&self, now: Instant, plan: &RunPlan<'_>) -> Option<ServiceName> {
+    fn most_refusing(&self, now: Instant, plan: &PendingRun<'_>) -> Option<ServiceName> {
         let refused = |service: &ServiceName| self.shares(now, service, plan).1;
         let services = plan.calls.iter().map(|(service, _)| service);
         services.max_by(|one, other| refused(one).total_cmp(&refused(other))).cloned()
     }
 
-    fn shares(&self, now: Instant, service: &ServiceName, plan: &RunPlan<'_>) -> (f64, f64) {
+    fn shares(&self, now: Instant, service: &ServiceName, plan: &PendingRun<'_>) -> (f64, f64) {
         let treatment = self.treatments.get(&(service.clone(), plan.rank, plan.level.band()));
         treatment.map_or((0.0, 0.0), |treatment| treatment.shares(now))
     }
--- a/crates/scheduling/tests/call_outlook.rs
+++ b/crates/scheduling/tests/call_outlook.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallFailureEstimator, CallLevel, RunPlan};
+use umberpond_scheduling::{CallEnd, CallFailureEstimator, CallLevel, PendingRun};
 
 const ROUTE: u32 = 7;
 const RANK: u8 = 1;
@@ -38,7 +38,7 @@
     }
 
     fn begins(&mut self, rank: u8) -> bool {
-        let plan = RunPlan { route: ROUTE, rank, level: LEVEL, calls: &self.calls };
+        let plan = PendingRun { route: ROUTE, rank, level: LEVEL, calls: &self.calls };
         self.outlook.begin_run(self.now, &plan).is_ok()
     }
 
@@ -62,7 +62,7 @@
 fn a_refusal_names_the_called_service_and_when_there_is_better_hope() {
     let mut node = Node::new(1.0);
     node.treat(300, 10, CallEnd::NoRoom);
-    let plan = RunPlan { route: ROUTE, rank: RANK, level: LEVEL, calls: &node.calls };
+    let plan = PendingRun { route: ROUTE, rank: RANK, level: LEVEL, calls: &node.calls };
     let refusal = (0..9).find_map(|_| node.outlook.begin_run(node.now, &plan).err()).unwrap();
     assert_eq!(refusal.called, ledger());
     assert!(refusal.failing > 0.9);
@@ -75,12 +75,12 @@
     node.treat(300, 10, CallEnd::NoRoom);
     assert!((0..100).all(|_| node.begins(0)), "calls of rank 0 were not refused");
     let last_level = CallLevel::of_hash(31);
-    let other = RunPlan { route: ROUTE, rank: RANK, level: last_level, calls: &node.calls };
+    let other = PendingRun { route: ROUTE, rank: RANK, level: last_level, calls: &node.calls };
     assert!(
         (0..100).all(|_| node.outlook.begin_run(node.now, &other).is_ok()),
         "nothing is known of its level"
     );
-    let quiet = RunPlan { route: ROUTE + 1, rank: RANK, level: LEVEL, calls: &[] };
+    let quiet = PendingRun { route: ROUTE + 1, rank: RANK, level: LEVEL, calls: &[] };
     assert!((0..100).all(|_| node.outlook.begin_run(node.now, &quiet).is_ok()));
 }
 
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -7,7 +7,7 @@
 
 use umberpond_model::ServiceName;
 use umberpond_scheduling::{
-    CallEnd, CallFailureEstimator, CallLevel, Decision, Dependent, RunPlan, Started, Ticket, WaitBounds,
+    CallEnd, CallFailureEstimator, CallLevel, Decision, Dependent, PendingRun, Started, Ticket, WaitBounds,
     WorkItem, WorkQueue,
 };
 
@@ -206,7 +206,8 @@
             return true;
         }
         let calls = [(name_of(call.kind), f64::from(call.count))];
-        let plan = RunPlan { route: 0, rank: kind.rank, level: self.requests[request].level, calls: &calls };
+        let plan =
+            PendingRun { route: 0, rank: kind.rank, level: self.requests[request].level, calls: &calls };
         self.outlooks.entry((kind.service, queue)).or_default().begin_run(now, &plan).is_ok()
     }
 
