--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -2,7 +2,7 @@
 
 use parking_lot::Mutex;
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallFailureEstimator, PendingRun, RunRefusal};
+use umberpond_scheduling::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
 
 use crate::clock::now;
 use crate::outbound::{Reply, ReplyReason};
@@ -37,12 +37,12 @@
 }
 
 /// How a call ended by the reply to it.
-const fn end_of(reply: &Reply) -> CallEnd {
+const fn end_of(reply: &Reply) -> CallOutcome {
     match reply.reason {
         Some(ReplyReason::NotRun(
             NotRunReason::Overloaded | NotRunReason::BackEndFull | NotRunReason::CallsOverloaded,
-        )) => CallEnd::NoRoom,
-        Some(ReplyReason::NotRun(_) | ReplyReason::OverQuota) => CallEnd::Refused,
-        Some(_) | None => CallEnd::Run,
+        )) => CallOutcome::NoRoom,
+        Some(ReplyReason::NotRun(_) | ReplyReason::OverQuota) => CallOutcome::Refused,
+        Some(_) | None => CallOutcome::Run,
     }
 }
--- a/crates/scheduling/src/call_outlook.rs
+++ b/crates/scheduling/src/call_outlook.rs
@@ -27,7 +27,7 @@
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It may have run.
     Run,
     /// It was refused for want of room.
@@ -70,7 +70,7 @@
 }
 
 impl Treatment {
-    fn record(&mut self, now: Instant, end: CallEnd) {
+    fn record(&mut self, now: Instant, end: CallOutcome) {
         let kept = self.kept(now);
         for count in [&mut self.calls, &mut self.no_room, &mut self.refused] {
             *count *= kept;
@@ -78,9 +78,9 @@
         self.told_at = Some(now);
         self.calls += 1.0;
         match end {
-            CallEnd::Run => {}
-            CallEnd::NoRoom => self.no_room += 1.0,
-            CallEnd::Refused => self.refused += 1.0,
+            CallOutcome::Run => {}
+            CallOutcome::NoRoom => self.no_room += 1.0,
+            CallOutcome::Refused => self.refused += 1.0,
         }
     }
 
@@ -137,7 +137,7 @@
         service: &ServiceName,
         rank: u8,
         level: CallLevel,
-        end: CallEnd,
+        end: CallOutcome,
     ) {
         self.treatments.entry((service.clone(), rank, level.band())).or_default().record(now, end);
     }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -20,7 +20,7 @@
 mod work_item;
 
 pub use call_level::CallLevel;
-pub use call_outlook::{CallEnd, CallFailureEstimator, PendingRun, RunRefusal};
+pub use call_outlook::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
 pub use cold_pace::ColdPace;
 pub use decision::{Decision, DisplacedRequest, Refusal, Started, Ticket};
 pub use duplicates::DuplicateWindow;
--- a/crates/scheduling/tests/call_outlook.rs
+++ b/crates/scheduling/tests/call_outlook.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallFailureEstimator, CallLevel, PendingRun};
+use umberpond_scheduling::{CallFailureEstimator, CallLevel, CallOutcome, PendingRun};
 
 const ROUTE: u32 = 7;
 const RANK: u8 = 1;
@@ -29,10 +29,10 @@
     }
 
     /// Calls that end one after the other, 10 ms apart; of ten so many are refused.
-    fn treat(&mut self, calls: usize, refused_of_ten: usize, how: CallEnd) {
+    fn treat(&mut self, calls: usize, refused_of_ten: usize, how: CallOutcome) {
         for number in 0..calls {
             self.now += Duration::from_millis(10);
-            let end = if number % 10 < refused_of_ten { how } else { CallEnd::Run };
+            let end = if number % 10 < refused_of_ten { how } else { CallOutcome::Run };
             self.outlook.record_call(self.now, &ledger(), RANK, LEVEL, end);
         }
     }
@@ -52,7 +52,7 @@
 fn runs_are_refused_in_the_measure_in_which_they_would_fail() {
     for (refused, begun) in [(0, 990..=1_000), (3, 450..=560), (5, 230..=330), (10, 95..=105)] {
         let mut node = Node::new(2.0);
-        node.treat(300, refused, CallEnd::NoRoom);
+        node.treat(300, refused, CallOutcome::NoRoom);
         let found = node.begun_of_thousand();
         assert!(begun.contains(&found), "{refused} of ten calls refused, {found} begun");
     }
@@ -61,7 +61,7 @@
 #[test]
 fn a_refusal_names_the_called_service_and_when_there_is_better_hope() {
     let mut node = Node::new(1.0);
-    node.treat(300, 10, CallEnd::NoRoom);
+    node.treat(300, 10, CallOutcome::NoRoom);
     let plan = PendingRun { route: ROUTE, rank: RANK, level: LEVEL, calls: &node.calls };
     let refusal = (0..9).find_map(|_| node.outlook.begin_run(node.now, &plan).err()).unwrap();
     assert_eq!(refusal.called, ledger());
@@ -72,7 +72,7 @@
 #[test]
 fn runs_of_another_rank_or_level_and_of_routes_without_calls_begin() {
     let mut node = Node::new(2.0);
-    node.treat(300, 10, CallEnd::NoRoom);
+    node.treat(300, 10, CallOutcome::NoRoom);
     assert!((0..100).all(|_| node.begins(0)), "calls of rank 0 were not refused");
     let last_level = CallLevel::of_hash(31);
     let other = PendingRun { route: ROUTE, rank: RANK, level: last_level, calls: &node.calls };
@@ -90,7 +90,7 @@
     for number in 0..200 {
         node.outlook.record_run(ROUTE, number % 20 == 0);
     }
-    node.treat(300, 10, CallEnd::NoRoom);
+    node.treat(300, 10, CallOutcome::NoRoom);
     assert!(node.begun_of_thousand() > 900);
 }
 
@@ -99,10 +99,10 @@
 #[test]
 fn runs_whose_calls_are_turned_away_for_a_fault_begin_unless_they_can_hardly_succeed() {
     let mut node = Node::new(1.0);
-    node.treat(300, 5, CallEnd::Refused);
+    node.treat(300, 5, CallOutcome::Refused);
     assert_eq!(node.begun_of_thousand(), 1_000);
     let mut node = Node::new(2.0);
-    node.treat(300, 5, CallEnd::Refused);
+    node.treat(300, 5, CallOutcome::Refused);
     let found = node.begun_of_thousand();
     assert!((230..=330).contains(&found), "a quarter would succeed, {found} were begun");
 }
@@ -111,7 +111,7 @@
 #[test]
 fn without_news_all_runs_begin_again_within_five_seconds() {
     let mut node = Node::new(2.0);
-    node.treat(300, 10, CallEnd::NoRoom);
+    node.treat(300, 10, CallOutcome::NoRoom);
     assert!(node.begun_of_thousand() <= 105);
     node.now += Duration::from_secs(2);
     let half_way = node.begun_of_thousand();
@@ -132,7 +132,7 @@
     /// Runs that got both calls, in each second.
     fn good_runs(&self) -> Vec<u64> {
         let mut node = Node::new(2.0);
-        let mut news: VecDeque<Vec<CallEnd>> = (0..self.news_age).map(|_| Vec::new()).collect();
+        let mut news: VecDeque<Vec<CallOutcome>> = (0..self.news_age).map(|_| Vec::new()).collect();
         let (mut room, mut due) = (0.0_f64, 0);
         let mut good = vec![0; 40];
         for step in 0..4_000 {
@@ -145,7 +145,7 @@
             due %= 100;
             for _ in 0..begun {
                 let calls = [(); 2].map(|()| take(&mut room));
-                good[step / 100] += u64::from(calls == [CallEnd::Run; 2]);
+                good[step / 100] += u64::from(calls == [CallOutcome::Run; 2]);
                 ends.extend(calls);
             }
             news.push_back(ends);
@@ -157,12 +157,12 @@
     }
 }
 
-fn take(room: &mut f64) -> CallEnd {
+fn take(room: &mut f64) -> CallOutcome {
     if *room < 1.0 {
-        return CallEnd::NoRoom;
+        return CallOutcome::NoRoom;
     }
     *room -= 1.0;
-    CallEnd::Run
+    CallOutcome::Run
 }
 
 /// At two and three times the runs whose calls are served, with news that are 300 ms old.
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -7,8 +7,8 @@
 
 use umberpond_model::ServiceName;
 use umberpond_scheduling::{
-    CallEnd, CallFailureEstimator, CallLevel, Decision, Dependent, PendingRun, Started, Ticket, WaitBounds,
-    WorkItem, WorkQueue,
+    CallFailureEstimator, CallLevel, CallOutcome, Decision, Dependent, PendingRun, Started, Ticket,
+    WaitBounds, WorkItem, WorkQueue,
 };
 
 /// Slots of one queue.
@@ -338,7 +338,7 @@
         let Request { kind, first_sent, run, .. } = self.requests[request];
         if let Some(run) = run {
             let Request { kind: run_kind, queue, .. } = self.requests[run];
-            let end = if is_good { CallEnd::Run } else { CallEnd::NoRoom };
+            let end = if is_good { CallOutcome::Run } else { CallOutcome::NoRoom };
             let now = self.instant(self.now);
             self.outlooks.entry(queue).or_default().record_call(
                 now,
