--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -12,8 +12,8 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 use umberpond_model::{RequestRate, TenantNumber};
 use umberpond_scheduling::{
-    ColdPace, Decision, InvalidSlowdown, LoadReport, Refusal, Started, TenantStanding, Ticket, WorkItem,
-    WorkQueue,
+    ColdStartLimiter, Decision, InvalidSlowdown, LoadReport, Refusal, Started, TenantStanding, Ticket,
+    WorkItem, WorkQueue,
 };
 
 use crate::clock::now;
@@ -202,7 +202,7 @@
     }
 
     /// Takes in what is known of the back end's warmth, and starts what may start now.
-    pub(crate) fn change_pace(self: &Arc<Self>, change: impl FnOnce(&mut ColdPace)) {
+    pub(crate) fn change_pace(self: &Arc<Self>, change: impl FnOnce(&mut ColdStartLimiter)) {
         let mut state = self.state.lock();
         change(state.queue.pace());
         self.start_waiting(&mut state);
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -12,7 +12,7 @@
 use umberpond_model::{BackEndLife, RegionName, ReleaseName, RequestRate, ServiceName};
 use umberpond_net::Network;
 use umberpond_rollouts::{AnswerTally, RouteTally};
-use umberpond_scheduling::{ColdPace, DuplicateWindow, LoadReport};
+use umberpond_scheduling::{ColdStartLimiter, DuplicateWindow, LoadReport};
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::admission::Admission;
@@ -230,7 +230,7 @@
         if is_evacuated {
             self.admission.turn_away_waiting();
         } else {
-            self.admission.change_pace(ColdPace::doubt);
+            self.admission.change_pace(ColdStartLimiter::doubt);
         }
     }
 
@@ -253,12 +253,12 @@
 
     /// Takes in that the back end has answered the question whether it is warm: it is.
     pub fn on_warm(&self) {
-        self.admission.change_pace(ColdPace::on_warm);
+        self.admission.change_pace(ColdStartLimiter::on_warm);
     }
 
     /// Takes in that the question whether the back end is warm came to nothing.
     pub fn on_no_answer(&self) {
-        self.admission.change_pace(ColdPace::on_no_answer);
+        self.admission.change_pace(ColdStartLimiter::on_no_answer);
     }
 
     /// Sets whether the rollout of the service leaves the back end's release any requests. Without any, what waits or runs is
--- a/crates/scheduling/src/cold_pace.rs
+++ b/crates/scheduling/src/cold_pace.rs
@@ -16,7 +16,7 @@
 ///
 /// What an earlier process of the node may have handed over in the last second counts: a pace begins with its second used up.
 #[derive(Debug, Default)]
-pub struct ColdPace {
+pub struct ColdStartLimiter {
     /// Requests that may start within [`SPAN`]; absent if the service names no rate.
     limit: Option<usize>,
     /// When the latest requests have started, as many as the limit.
@@ -28,7 +28,7 @@
     since_question: Option<usize>,
 }
 
-impl ColdPace {
+impl ColdStartLimiter {
     /// Sets the rate of the service.
     pub fn set_rate(&mut self, now: Instant, rate: Option<RequestRate>) {
         let limit = rate.map(|rate| usize::try_from(rate.whole()).unwrap_or(usize::MAX));
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -21,7 +21,7 @@
 
 pub use call_level::CallLevel;
 pub use call_outlook::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
-pub use cold_pace::ColdPace;
+pub use cold_pace::ColdStartLimiter;
 pub use decision::{Decision, DisplacedRequest, Refusal, Started, Ticket};
 pub use duplicates::DuplicateWindow;
 pub use fair_shares::TenantStanding;
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -11,8 +11,8 @@
 use crate::load::permille;
 use crate::place::Place;
 use crate::{
-    ColdPace, Decision, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown, Started, Ticket,
-    WorkItem,
+    ColdStartLimiter, Decision, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown, Started,
+    Ticket, WorkItem,
 };
 
 /// Assumed service time while nothing is known.
@@ -56,7 +56,7 @@
     refused_at: BTreeMap<u8, Instant>,
     /// When a request was admitted last, by rank.
     admitted_at: BTreeMap<u8, Instant>,
-    pace: ColdPace,
+    pace: ColdStartLimiter,
     slowdown: Slowdown,
 }
 
@@ -81,7 +81,7 @@
             kept: KeptSlots::default(),
             refused_at: BTreeMap::new(),
             admitted_at: BTreeMap::new(),
-            pace: ColdPace::default(),
+            pace: ColdStartLimiter::default(),
             slowdown: Slowdown::default(),
         }
     }
@@ -115,7 +115,7 @@
     }
 
     /// The pace of the back end while it is cold. Call [`WorkQueue::start_next`] after a change.
-    pub const fn pace(&mut self) -> &mut ColdPace {
+    pub const fn pace(&mut self) -> &mut ColdStartLimiter {
         &mut self.pace
     }
 
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -4,7 +4,7 @@
 
 use quickcheck::quickcheck;
 use umberpond_model::RequestRate;
-use umberpond_scheduling::{ColdPace, Decision, WorkItem, WorkQueue};
+use umberpond_scheduling::{ColdStartLimiter, Decision, WorkItem, WorkQueue};
 
 const LIMIT: usize = 13;
 const SPAN: Duration = Duration::from_secs(1);
@@ -18,15 +18,15 @@
 }
 
 /// A pace whose first second is over and whose back end has said that it is warm.
-fn warm_pace(start: Instant) -> ColdPace {
-    let mut pace = ColdPace::default();
+fn warm_pace(start: Instant) -> ColdStartLimiter {
+    let mut pace = ColdStartLimiter::default();
     pace.set_rate(start.checked_sub(SPAN).expect("the clock is older"), Some(rate()));
     pace.on_question();
     pace.on_warm();
     pace
 }
 
-fn started(pace: &mut ColdPace, now: Instant, offered: usize) -> usize {
+fn started(pace: &mut ColdStartLimiter, now: Instant, offered: usize) -> usize {
     let mut started = 0;
     while started < offered && pace.may_start(now) {
         pace.on_start(now);
@@ -38,7 +38,7 @@
 #[test]
 fn a_service_without_a_rate_has_no_pace() {
     let now = Instant::now();
-    let mut pace = ColdPace::default();
+    let mut pace = ColdStartLimiter::default();
     pace.on_cold(now, millis(3_000));
     assert_eq!(started(&mut pace, now, 1_000), 1_000);
     assert!(!pace.wants_word(now));
@@ -84,7 +84,7 @@
 #[test]
 fn a_process_that_starts_does_not_know_what_the_one_before_has_handed_over() {
     let now = Instant::now();
-    let mut pace = ColdPace::default();
+    let mut pace = ColdStartLimiter::default();
     pace.set_rate(now, Some(rate()));
     pace.on_cold(now, millis(3_000));
     assert_eq!(started(&mut pace, now + millis(900), 100), 0);
