--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -6,7 +6,7 @@
 mod admitted_work;
 mod call_level;
 mod call_outlook;
-mod cold_pace;
+mod cold_start_limiter;
 mod decision;
 mod duplicates;
 mod fair_shares;
@@ -21,7 +21,7 @@
 
 pub use call_level::CallLevel;
 pub use call_outlook::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
-pub use cold_pace::ColdStartLimiter;
+pub use cold_start_limiter::ColdStartLimiter;
 pub use decision::{Decision, DisplacedRequest, Refusal, Started, Ticket};
 pub use duplicates::DuplicateWindow;
 pub use fair_shares::TenantStanding;
