--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -168,7 +168,7 @@
         let mut state = self.state.lock();
         state.queue.set_slots(slots);
         // It may have turned cold while it took nothing.
-        state.queue.pace().doubt();
+        state.queue.cold_start_limiter().doubt();
         state.queue.open();
         self.start_waiting(&mut state);
     }
@@ -193,18 +193,18 @@
     pub(crate) fn forget_back_end(&self) {
         let mut state = self.state.lock();
         state.queue.forget_service_time();
-        state.queue.pace().forget();
+        state.queue.cold_start_limiter().forget();
     }
 
     /// Sets the rate of requests that a cold back end of the service bears.
     pub(crate) fn set_cold_rate(self: &Arc<Self>, rate: Option<RequestRate>) {
-        self.change_pace(|pace| pace.set_rate(now(), rate));
+        self.change_pace(|cold_start_limiter| cold_start_limiter.set_rate(now(), rate));
     }
 
     /// Takes in what is known of the back end's warmth, and starts what may start now.
     pub(crate) fn change_pace(self: &Arc<Self>, change: impl FnOnce(&mut ColdStartLimiter)) {
         let mut state = self.state.lock();
-        change(state.queue.pace());
+        change(state.queue.cold_start_limiter());
         self.start_waiting(&mut state);
     }
 
@@ -221,11 +221,11 @@
 
     fn try_begin_question(&self) -> bool {
         let mut state = self.state.lock();
-        let pace = state.queue.pace();
-        if !pace.wants_word(now()) {
+        let cold_start_limiter = state.queue.cold_start_limiter();
+        if !cold_start_limiter.wants_word(now()) {
             return false;
         }
-        pace.on_question();
+        cold_start_limiter.on_question();
         true
     }
 
@@ -279,7 +279,7 @@
 
     /// Sees to it that the queue is looked at again when the pace lets a request start, and that the back end is asked whether it is warm.
     fn follow_pace(self: &Arc<Self>, state: &mut State) {
-        if state.queue.pace().wants_word(now()) {
+        if state.queue.cold_start_limiter().wants_word(now()) {
             self.word_wanted.notify_one();
         }
         let Some(at) = state.queue.paced_until(now()).map(Instant::from_std) else { return };
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -241,7 +241,7 @@
 
     /// Takes in that the back end is cold for so long.
     pub fn on_cold(&self, cold_for: Duration) {
-        self.admission.change_pace(|pace| pace.on_cold(now(), cold_for));
+        self.admission.change_pace(|cold_start_limiter| cold_start_limiter.on_cold(now(), cold_for));
     }
 
     /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now. Whoever awaits this asks, and
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -56,7 +56,7 @@
     refused_at: BTreeMap<u8, Instant>,
     /// When a request was admitted last, by rank.
     admitted_at: BTreeMap<u8, Instant>,
-    pace: ColdStartLimiter,
+    cold_start_limiter: ColdStartLimiter,
     slowdown: Slowdown,
 }
 
@@ -81,7 +81,7 @@
             kept: KeptSlots::default(),
             refused_at: BTreeMap::new(),
             admitted_at: BTreeMap::new(),
-            pace: ColdStartLimiter::default(),
+            cold_start_limiter: ColdStartLimiter::default(),
             slowdown: Slowdown::default(),
         }
     }
@@ -115,15 +115,15 @@
     }
 
     /// The pace of the back end while it is cold. Call [`WorkQueue::start_next`] after a change.
-    pub const fn pace(&mut self) -> &mut ColdStartLimiter {
-        &mut self.pace
+    pub const fn cold_start_limiter(&mut self) -> &mut ColdStartLimiter {
+        &mut self.cold_start_limiter
     }
 
     /// When the pace lets a waiting request start, if nothing but the pace holds it up.
     #[must_use]
     pub fn paced_until(&self, now: Instant) -> Option<Instant> {
         let may_run = !self.waiting.is_empty() && self.running < self.slots;
-        if may_run { self.pace.next_start(now) } else { None }
+        if may_run { self.cold_start_limiter.next_start(now) } else { None }
     }
 
     /// Whether new work is taken.
@@ -162,7 +162,7 @@
         if let Some(expected) = self.slowed_end(now, item) {
             return Decision::Refuse(Refusal::Slowed { expected });
         }
-        if self.has_slot_for(now, &item) && self.is_first(&item) && self.pace.may_start(now) {
+        if self.has_slot_for(now, &item) && self.is_first(&item) && self.cold_start_limiter.may_start(now) {
             if self.waiting.is_empty() {
                 self.shares.clear();
             }
@@ -195,7 +195,7 @@
             return Some(Started::Expire(place.ticket));
         }
         let (place, item) = self.first_with_slot(now, place, item)?;
-        if !self.pace.may_start(now) {
+        if !self.cold_start_limiter.may_start(now) {
             return None;
         }
         self.remove(place);
@@ -272,7 +272,7 @@
     #[must_use]
     pub fn expected_wait(&mut self, now: Instant, item: WorkItem) -> Duration {
         let (ahead, count) = self.work_ahead(&item);
-        let pace_wait = self.pace.expected_wait(now, count);
+        let pace_wait = self.cold_start_limiter.expected_wait(now, count);
         let is_free = self.has_slot_for(now, &item) && ahead.is_zero();
         if is_free {
             return pace_wait;
@@ -326,7 +326,7 @@
     pub fn report(&mut self, now: Instant) -> LoadReport {
         self.reports += 1;
         self.shares.advance(now, self.running);
-        let slots = self.pace.usable_slots(now, self.slots, self.mean_service_time());
+        let slots = self.cold_start_limiter.usable_slots(now, self.slots, self.mean_service_time());
         LoadReport {
             number: self.reports,
             running: self.running,
@@ -422,7 +422,7 @@
         if !item.is_call() {
             self.kept.on_new_started();
         }
-        self.pace.on_start(now);
+        self.cold_start_limiter.on_start(now);
     }
 
     fn mean_service_time(&self) -> Duration {
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -399,7 +399,7 @@
 #[test]
 fn shares_hold_at_the_pace_of_a_cold_back_end() {
     let mut back_end = BusyBackEnd::new();
-    back_end.queue.pace().set_rate(back_end.now, RequestRate::per_second(20.0).ok());
+    back_end.queue.cold_start_limiter().set_rate(back_end.now, RequestRate::per_second(20.0).ok());
     (0..100).for_each(|_| back_end.offer(GREEDY));
     for step in 0..2_000 {
         back_end.pass(millis(5));
