--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -282,7 +282,7 @@
         if state.queue.cold_start_limiter().wants_word(now()) {
             self.word_wanted.notify_one();
         }
-        let Some(at) = state.queue.paced_until(now()).map(Instant::from_std) else { return };
+        let Some(at) = state.queue.rate_limited_until(now()).map(Instant::from_std) else { return };
         if state.look_at.is_some_and(|planned| planned <= at && planned > Instant::now()) {
             return;
         }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -121,7 +121,7 @@
 
     /// When the pace lets a waiting request start, if nothing but the pace holds it up.
     #[must_use]
-    pub fn paced_until(&self, now: Instant) -> Option<Instant> {
+    pub fn rate_limited_until(&self, now: Instant) -> Option<Instant> {
         let may_run = !self.waiting.is_empty() && self.running < self.slots;
         if may_run { self.cold_start_limiter.next_start(now) } else { None }
     }
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -125,7 +125,7 @@
     let count = |wanted: fn(&Decision) -> bool| decisions.iter().filter(|decision| wanted(decision)).count();
     assert_eq!(count(|decision| *decision == Decision::Start), LIMIT);
     assert_eq!(count(|decision| matches!(decision, Decision::Wait(_))), LIMIT);
-    assert_eq!(queue.paced_until(now), Some(now + SPAN));
+    assert_eq!(queue.rate_limited_until(now), Some(now + SPAN));
     assert!(queue.start_next(now + millis(999)).is_none());
     assert!(queue.start_next(now + SPAN).is_some());
     assert!(queue.report(now).slots < 5);
