--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -222,7 +222,7 @@
     fn try_begin_question(&self) -> bool {
         let mut state = self.state.lock();
         let cold_start_limiter = state.queue.cold_start_limiter();
-        if !cold_start_limiter.wants_word(now()) {
+        if !cold_start_limiter.needs_warmth_probe(now()) {
             return false;
         }
         cold_start_limiter.on_question();
@@ -279,7 +279,7 @@
 
     /// Sees to it that the queue is looked at again when the pace lets a request start, and that the back end is asked whether it is warm.
     fn follow_pace(self: &Arc<Self>, state: &mut State) {
-        if state.queue.cold_start_limiter().wants_word(now()) {
+        if state.queue.cold_start_limiter().needs_warmth_probe(now()) {
             self.word_wanted.notify_one();
         }
         let Some(at) = state.queue.rate_limited_until(now()).map(Instant::from_std) else { return };
--- a/crates/scheduling/src/cold_pace.rs
+++ b/crates/scheduling/src/cold_pace.rs
@@ -80,7 +80,7 @@
 
     /// Whether the back end should be asked now whether it is warm.
     #[must_use]
-    pub fn wants_word(&self, now: Instant) -> bool {
+    pub fn needs_warmth_probe(&self, now: Instant) -> bool {
         let Some(limit) = self.limit else { return false };
         // Asked at half, the answer is there before the rest is used up.
         self.since_question.is_none() && !self.is_cold(now) && self.unconfirmed * 2 >= limit
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -41,7 +41,7 @@
     let mut cold_start_limiter = ColdStartLimiter::default();
     cold_start_limiter.on_cold(now, millis(3_000));
     assert_eq!(started(&mut cold_start_limiter, now, 1_000), 1_000);
-    assert!(!cold_start_limiter.wants_word(now));
+    assert!(!cold_start_limiter.needs_warmth_probe(now));
 }
 
 #[test]
@@ -62,7 +62,7 @@
     for step in 0..200 {
         let now = start + millis(10 * step);
         assert_eq!(started(&mut cold_start_limiter, now, 1), 1);
-        if cold_start_limiter.wants_word(now) {
+        if cold_start_limiter.needs_warmth_probe(now) {
             cold_start_limiter.on_question();
             cold_start_limiter.on_warm();
         }
@@ -74,7 +74,7 @@
     let now = Instant::now();
     let mut cold_start_limiter = warm_pace(now);
     assert_eq!(started(&mut cold_start_limiter, now, 100), LIMIT);
-    assert!(cold_start_limiter.wants_word(now));
+    assert!(cold_start_limiter.needs_warmth_probe(now));
     cold_start_limiter.on_question();
     cold_start_limiter.on_no_answer();
     assert_eq!(started(&mut cold_start_limiter, now + millis(500), 100), 0);
@@ -162,7 +162,7 @@
             }
             match action % 4 {
                 0 => back.cold_until = Some(now + millis(u64::from(detail) * 20)),
-                1 if back.answer.is_none() && cold_start_limiter.wants_word(now) => {
+                1 if back.answer.is_none() && cold_start_limiter.needs_warmth_probe(now) => {
                     cold_start_limiter.on_question();
                     // It answers as it is when it gives the answer; asked before it turns cold it may say that it is warm.
                     let told = back.cold_until.map(|until| until - now);
