--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -225,7 +225,7 @@
         if !cold_start_limiter.needs_warmth_probe(now()) {
             return false;
         }
-        cold_start_limiter.on_question();
+        cold_start_limiter.on_warmth_probe_sent();
         true
     }
 
--- a/crates/scheduling/src/cold_pace.rs
+++ b/crates/scheduling/src/cold_pace.rs
@@ -61,7 +61,7 @@
     }
 
     /// Takes in that the back end is asked now whether it is warm.
-    pub const fn on_question(&mut self) {
+    pub const fn on_warmth_probe_sent(&mut self) {
         self.since_question = Some(0);
     }
 
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -21,7 +21,7 @@
 fn warm_pace(start: Instant) -> ColdStartLimiter {
     let mut cold_start_limiter = ColdStartLimiter::default();
     cold_start_limiter.set_rate(start.checked_sub(SPAN).expect("the clock is older"), Some(rate()));
-    cold_start_limiter.on_question();
+    cold_start_limiter.on_warmth_probe_sent();
     cold_start_limiter.on_warm();
     cold_start_limiter
 }
@@ -63,7 +63,7 @@
         let now = start + millis(10 * step);
         assert_eq!(started(&mut cold_start_limiter, now, 1), 1);
         if cold_start_limiter.needs_warmth_probe(now) {
-            cold_start_limiter.on_question();
+            cold_start_limiter.on_warmth_probe_sent();
             cold_start_limiter.on_warm();
         }
     }
@@ -75,7 +75,7 @@
     let mut cold_start_limiter = warm_pace(now);
     assert_eq!(started(&mut cold_start_limiter, now, 100), LIMIT);
     assert!(cold_start_limiter.needs_warmth_probe(now));
-    cold_start_limiter.on_question();
+    cold_start_limiter.on_warmth_probe_sent();
     cold_start_limiter.on_no_answer();
     assert_eq!(started(&mut cold_start_limiter, now + millis(500), 100), 0);
     assert_eq!(started(&mut cold_start_limiter, now + SPAN, 100), LIMIT);
@@ -95,7 +95,7 @@
 fn a_word_of_cold_is_not_undone_by_the_answer_to_an_older_question() {
     let now = Instant::now();
     let mut cold_start_limiter = warm_pace(now);
-    cold_start_limiter.on_question();
+    cold_start_limiter.on_warmth_probe_sent();
     cold_start_limiter.on_cold(now, millis(3_000));
     cold_start_limiter.on_warm();
     assert_eq!(started(&mut cold_start_limiter, now, 100), LIMIT);
@@ -163,7 +163,7 @@
             match action % 4 {
                 0 => back.cold_until = Some(now + millis(u64::from(detail) * 20)),
                 1 if back.answer.is_none() && cold_start_limiter.needs_warmth_probe(now) => {
-                    cold_start_limiter.on_question();
+                    cold_start_limiter.on_warmth_probe_sent();
                     // It answers as it is when it gives the answer; asked before it turns cold it may say that it is warm.
                     let told = back.cold_until.map(|until| until - now);
                     back.answer = Some((now + millis(u64::from(detail)), told));
