--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -14,7 +14,7 @@
 /// Asks the back end without end. A service whose back ends bear as much cold as warm is never asked.
 pub(crate) async fn follow_warmth(monitor: Arc<BackEndMonitor>) {
     loop {
-        let back_end = monitor.inbound().begin_question().await;
+        let back_end = monitor.inbound().begin_warmth_probe().await;
         let is_answered = match back_end {
             Some(back_end) => ask(&monitor, &back_end).await,
             None => false,
--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -209,7 +209,7 @@
     }
 
     /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now.
-    pub(crate) async fn begin_question(&self) {
+    pub(crate) async fn begin_warmth_probe(&self) {
         loop {
             let notified = self.word_wanted.notified();
             if self.try_begin_question() {
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -246,8 +246,8 @@
 
     /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now. Whoever awaits this asks, and
     /// tells what came of it by [`Inbound::on_warm`], [`Inbound::on_cold`] or [`Inbound::on_no_answer`].
-    pub async fn begin_question(&self) -> Option<BackEnd> {
-        self.admission.begin_question().await;
+    pub async fn begin_warmth_probe(&self) -> Option<BackEnd> {
+        self.admission.begin_warmth_probe().await;
         self.current.lock().as_ref().map(|current| current.back_end.clone())
     }
 
