--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -245,7 +245,7 @@
     }
 
     /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now. Whoever awaits this asks, and
-    /// tells what came of it by [`Inbound::on_warm`], [`Inbound::on_cold`] or [`Inbound::on_no_answer`].
+    /// tells what came of it by [`Inbound::on_warm`], [`Inbound::on_cold`] or [`Inbound::on_warmth_probe_failed`].
     pub async fn begin_warmth_probe(&self) -> Option<BackEnd> {
         self.admission.begin_warmth_probe().await;
         self.current.lock().as_ref().map(|current| current.back_end.clone())
@@ -257,8 +257,8 @@
     }
 
     /// Takes in that the question whether the back end is warm came to nothing.
-    pub fn on_no_answer(&self) {
-        self.admission.change_pace(ColdStartLimiter::on_no_answer);
+    pub fn on_warmth_probe_failed(&self) {
+        self.admission.change_pace(ColdStartLimiter::on_warmth_probe_failed);
     }
 
     /// Sets whether the rollout of the service leaves the back end's release any requests. Without any, what waits or runs is
--- a/crates/scheduling/src/cold_pace.rs
+++ b/crates/scheduling/src/cold_pace.rs
@@ -74,7 +74,7 @@
     }
 
     /// Takes in that the open question came to nothing.
-    pub const fn on_no_answer(&mut self) {
+    pub const fn on_warmth_probe_failed(&mut self) {
         self.since_question = None;
     }
 
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -76,7 +76,7 @@
     assert_eq!(started(&mut cold_start_limiter, now, 100), LIMIT);
     assert!(cold_start_limiter.needs_warmth_probe(now));
     cold_start_limiter.on_warmth_probe_sent();
-    cold_start_limiter.on_no_answer();
+    cold_start_limiter.on_warmth_probe_failed();
     assert_eq!(started(&mut cold_start_limiter, now + millis(500), 100), 0);
     assert_eq!(started(&mut cold_start_limiter, now + SPAN, 100), LIMIT);
 }
@@ -155,7 +155,7 @@
             if let Some((at, told)) = back.answer.filter(|(at, _)| *at <= now) {
                 back.answer = None;
                 match told {
-                    _ if detail % 5 == 0 => cold_start_limiter.on_no_answer(),
+                    _ if detail % 5 == 0 => cold_start_limiter.on_warmth_probe_failed(),
                     Some(cold_for) => cold_start_limiter.on_cold(now, cold_for.saturating_sub(now - at)),
                     None => cold_start_limiter.on_warm(),
                 }
