--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -12,8 +12,8 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 use umberpond_model::{RequestRate, TenantNumber};
 use umberpond_scheduling::{
-    ColdStartLimiter, Decision, InvalidSlowdown, LoadReport, Refusal, Started, TenantStanding, Ticket,
-    WorkItem, WorkQueue,
+    ColdStartLimiter, Decision, InvalidSlowdown, LoadReport, Refusal, Started, TenantUsage, Ticket, WorkItem,
+    WorkQueue,
 };
 
 use crate::clock::now;
@@ -120,7 +120,7 @@
     /// Number of tenants that share the slots.
     pub(super) count: usize,
     /// Those that took most, the greatest first.
-    pub(super) greatest: Vec<TenantStanding>,
+    pub(super) greatest: Vec<TenantUsage>,
 }
 
 /// The queue before the back end.
@@ -255,7 +255,7 @@
     }
 
     /// How a tenant stands; absent if none of its requests has waited of late.
-    pub(super) fn standing(&self, tenant: TenantNumber) -> Option<TenantStanding> {
+    pub(super) fn standing(&self, tenant: TenantNumber) -> Option<TenantUsage> {
         self.state.lock().queue.standing(now(), tenant)
     }
 
--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 use umberpond_model::TenantNumber;
-use umberpond_scheduling::{Refusal, TenantStanding};
+use umberpond_scheduling::{Refusal, TenantUsage};
 use umberpond_telemetry::Event;
 
 use super::back_end::{Inbound, millis};
@@ -58,7 +58,7 @@
     }
 
     /// The tenants with their use in thousandths, by name where the configuration in force has them.
-    fn describe(&self, standings: &[TenantStanding]) -> String {
+    fn describe(&self, standings: &[TenantUsage]) -> String {
         let described = standings
             .iter()
             .map(|standing| format!("{}={}", self.tenant_name(standing.tenant), standing.use_permille));
--- a/crates/scheduling/src/fair_shares.rs
+++ b/crates/scheduling/src/fair_shares.rs
@@ -24,7 +24,7 @@
 
 /// How one tenant stands at one back end, for logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TenantStanding {
+pub struct TenantUsage {
     /// The tenant.
     pub tenant: TenantNumber,
     /// Its part of the slot time that tenants took lately while others waited, in thousandths.
@@ -241,17 +241,17 @@
         now: Instant,
         tenant: TenantNumber,
         quantum: Duration,
-    ) -> Option<TenantStanding> {
+    ) -> Option<TenantUsage> {
         let entry = self.tenants.get(&tenant)?;
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
         Some(self.standing_of(now, tenant, entry, total, quantum))
     }
 
     /// The `count` tenants that took most lately, the greatest first.
-    pub(crate) fn greatest(&self, now: Instant, count: usize, quantum: Duration) -> Vec<TenantStanding> {
+    pub(crate) fn greatest(&self, now: Instant, count: usize, quantum: Duration) -> Vec<TenantUsage> {
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
         let tenants = self.tenants.iter();
-        let mut standings: Vec<TenantStanding> =
+        let mut standings: Vec<TenantUsage> =
             tenants.map(|(tenant, entry)| self.standing_of(now, *tenant, entry, total, quantum)).collect();
         standings.sort_by_key(|standing| (std::cmp::Reverse(standing.use_permille), standing.tenant));
         standings.truncate(count);
@@ -265,10 +265,10 @@
         entry: &TenantUse,
         total: f64,
         quantum: Duration,
-    ) -> TenantStanding {
+    ) -> TenantUsage {
         let used = if total > 0.0 { entry.recent_seconds(now) / total } else { 0.0 };
         let ahead = entry.virtual_start.saturating_sub(self.virtual_time);
-        TenantStanding {
+        TenantUsage {
             tenant,
             use_permille: permille(used),
             share_permille: u16::try_from(1000 / self.tenants.len().max(1)).unwrap_or(u16::MAX),
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -24,7 +24,7 @@
 pub use cold_start_limiter::ColdStartLimiter;
 pub use decision::{Decision, DisplacedRequest, Refusal, Started, Ticket};
 pub use duplicates::DuplicateWindow;
-pub use fair_shares::TenantStanding;
+pub use fair_shares::TenantUsage;
 pub use load::LoadReport;
 pub use queue::WorkQueue;
 pub use service_time::ServiceTime;
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -6,7 +6,7 @@
 use umberpond_model::TenantNumber;
 
 use crate::admitted_work::AdmittedWork;
-use crate::fair_shares::{FairShares, TenantStanding, WaitingTurns};
+use crate::fair_shares::{FairShares, TenantUsage, WaitingTurns};
 use crate::kept_slots::KeptSlots;
 use crate::load::permille;
 use crate::place::Place;
@@ -219,13 +219,13 @@
 
     /// How a tenant stands; absent if none of its requests has waited of late.
     #[must_use]
-    pub fn standing(&self, now: Instant, tenant: TenantNumber) -> Option<TenantStanding> {
+    pub fn standing(&self, now: Instant, tenant: TenantNumber) -> Option<TenantUsage> {
         self.shares.standing(now, tenant, self.quantum())
     }
 
     /// The `count` tenants that took most slot time of late while others waited, the greatest first.
     #[must_use]
-    pub fn greatest_tenants(&self, now: Instant, count: usize) -> Vec<TenantStanding> {
+    pub fn greatest_tenants(&self, now: Instant, count: usize) -> Vec<TenantUsage> {
         self.shares.greatest(now, count, self.quantum())
     }
 
