--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -262,7 +262,7 @@
     /// How tenants stand, the greatest `count` of them named.
     pub(super) fn standings(&self, count: usize) -> TenantStandings {
         let state = self.state.lock();
-        let greatest = state.queue.greatest_tenants(now(), count);
+        let greatest = state.queue.top_tenants(now(), count);
         TenantStandings { count: state.queue.tenant_count(), greatest }
     }
 
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -225,7 +225,7 @@
 
     /// The `count` tenants that took most slot time of late while others waited, the greatest first.
     #[must_use]
-    pub fn greatest_tenants(&self, now: Instant, count: usize) -> Vec<TenantUsage> {
+    pub fn top_tenants(&self, now: Instant, count: usize) -> Vec<TenantUsage> {
         self.shares.greatest(now, count, self.quantum())
     }
 
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -211,7 +211,7 @@
     let greedy = queue.standing(now, TenantNumber(GREEDY)).expect("it waits");
     assert_eq!(greedy.share_permille, 500);
     assert!(greedy.use_permille > 900, "{greedy:?}");
-    assert_eq!(queue.greatest_tenants(now, 1), [greedy]);
+    assert_eq!(queue.top_tenants(now, 1), [greedy]);
     assert_eq!(queue.standing(now, TenantNumber(7)), None);
 }
 
