--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -36,7 +36,9 @@
         let Some(reason) = over_share_reason(refusal) else { return };
         let standing = self.admission.standing(TenantNumber::of(tenant));
         let is_displaced = matches!(refusal, Refusal::OverShare { .. });
-        let Some(standing) = standing.filter(|standing| is_displaced || standing.is_above) else { return };
+        let Some(standing) = standing.filter(|standing| is_displaced || standing.is_over_share) else {
+            return;
+        };
         self.telemetry.metrics().over_share(reason);
         self.telemetry.emit(Event::RequestOverShare {
             request: id_text(&attempt.id),
--- a/crates/scheduling/src/fair_shares.rs
+++ b/crates/scheduling/src/fair_shares.rs
@@ -34,7 +34,7 @@
     /// Slot time by which it is ahead of a tenant with exactly its share.
     pub ahead: Duration,
     /// Whether that is more than a quantum, so that others go first.
-    pub is_above: bool,
+    pub is_over_share: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -231,7 +231,7 @@
 
     /// Whether `item` goes behind others because its tenant is more than a quantum ahead of its share. The share of one that is alone is
     /// everything.
-    pub(crate) fn is_above(&self, item: &WorkItem, quantum: Duration) -> bool {
+    pub(crate) fn is_over_share(&self, item: &WorkItem, quantum: Duration) -> bool {
         self.tenants.len() > 1 && self.quanta_ahead(item, Duration::ZERO, quantum) > 0
     }
 
@@ -273,7 +273,7 @@
             use_permille: permille(used),
             share_permille: u16::try_from(1000 / self.tenants.len().max(1)).unwrap_or(u16::MAX),
             ahead,
-            is_above: self.tenants.len() > 1 && quanta(ahead, quantum) > 0,
+            is_over_share: self.tenants.len() > 1 && quanta(ahead, quantum) > 0,
         }
     }
 
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -171,10 +171,10 @@
             return Decision::Start;
         }
         self.shares.advance(now, self.running);
-        let is_above = self.shares.is_above(&item, self.quantum());
+        let is_over_share = self.shares.is_over_share(&item, self.quantum());
         let expected = self.expected_wait(now, item);
         if expected > item.longest_wait() && !self.is_before_admitted(now, &item, expected) {
-            if !has_missed && !is_above {
+            if !has_missed && !is_over_share {
                 self.refused_at.insert(item.priority, now);
             }
             return Decision::Refuse(Refusal::WaitTooLong { expected });
@@ -183,7 +183,7 @@
         if is_full && !self.displace_for(item) {
             return Decision::Refuse(Refusal::QueueFull);
         }
-        self.on_admitted(now, &item, is_above);
+        self.on_admitted(now, &item, is_over_share);
         Decision::Wait(self.enqueue(now, item))
     }
 
@@ -302,7 +302,7 @@
     /// Seconds of service a second that go to requests which overtake `item`.
     fn overtaking_rate(&mut self, now: Instant, item: &WorkItem) -> f64 {
         let (rank, left) = (item.priority, item.urgency(now));
-        if !self.shares.is_above(item, self.quantum()) {
+        if !self.shares.is_over_share(item, self.quantum()) {
             return self.admitted.overtaking_rate(now, rank, left);
         }
         OTHERS_MARGIN * self.admitted.rate(now, rank) + self.admitted_above.overtaking_rate(now, rank, left)
@@ -388,8 +388,8 @@
         is_urgent && !item.has_missed(now) && expected + item.service <= item.left(now)
     }
 
-    fn on_admitted(&mut self, now: Instant, item: &WorkItem, is_above: bool) {
-        let admitted = if is_above { &mut self.admitted_above } else { &mut self.admitted };
+    fn on_admitted(&mut self, now: Instant, item: &WorkItem, is_over_share: bool) {
+        let admitted = if is_over_share { &mut self.admitted_above } else { &mut self.admitted };
         admitted.record(now, item.priority, item.urgency(now), item.service);
         self.admitted_at.insert(item.priority, now);
     }
