--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -12,8 +12,8 @@
 use tokio::time::{Instant, sleep_until, timeout_at};
 use umberpond_model::{RequestRate, TenantNumber};
 use umberpond_scheduling::{
-    ColdStartLimiter, Decision, InvalidSlowdown, LoadReport, Refusal, Started, TenantUsage, Ticket, WorkItem,
-    WorkQueue,
+    ColdStartLimiter, Decision, Dequeued, InvalidSlowdown, LoadReport, Refusal, TenantUsage, Ticket,
+    WorkItem, WorkQueue,
 };
 
 use crate::clock::now;
@@ -54,8 +54,8 @@
     fn start_waiting(&mut self) {
         while let Some(started) = self.queue.start_next(now()) {
             match started {
-                Started::Run(ticket) => self.hand_slot(ticket),
-                Started::Expire(ticket) => {
+                Dequeued::Run(ticket) => self.hand_slot(ticket),
+                Dequeued::Expire(ticket) => {
                     self.tell(ticket, Err(Refusal::Expired));
                 }
             }
--- a/crates/scheduling/src/decision.rs
+++ b/crates/scheduling/src/decision.rs
@@ -56,7 +56,7 @@
 
 /// A waiting request that leaves the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Started {
+pub enum Dequeued {
     /// It has a slot now.
     Run(Ticket),
     /// Its deadline has passed; it has not run.
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -11,7 +11,7 @@
 use crate::load::permille;
 use crate::place::Place;
 use crate::{
-    ColdStartLimiter, Decision, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown, Started,
+    ColdStartLimiter, Decision, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown, Dequeued,
     Ticket, WorkItem,
 };
 
@@ -188,11 +188,11 @@
     }
 
     /// Takes a waiting request that can start, or one that has expired. Call it until nothing comes.
-    pub fn start_next(&mut self, now: Instant) -> Option<Started> {
+    pub fn start_next(&mut self, now: Instant) -> Option<Dequeued> {
         let (place, item) = self.first_waiting(now)?;
         if item.is_hopeless(now) {
             self.remove(place);
-            return Some(Started::Expire(place.ticket));
+            return Some(Dequeued::Expire(place.ticket));
         }
         let (place, item) = self.first_with_slot(now, place, item)?;
         if !self.cold_start_limiter.may_start(now) {
@@ -204,7 +204,7 @@
             self.shares.advance(now, self.running);
             self.shares.on_start(now, tenant, item.service, self.quantum());
         }
-        Some(Started::Run(place.ticket))
+        Some(Dequeued::Run(place.ticket))
     }
 
     /// The waiting requests that had to make room for others since this was called last.
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use umberpond_scheduling::{CallLevel, Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{CallLevel, Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -48,7 +48,7 @@
 
 fn next_run(queue: &mut WorkQueue, now: Instant) -> Ticket {
     queue.finish(Some(millis(50)));
-    let Some(Started::Run(ticket)) = queue.start_next(now) else { panic!("nothing runs") };
+    let Some(Dequeued::Run(ticket)) = queue.start_next(now) else { panic!("nothing runs") };
     ticket
 }
 
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use quickcheck::quickcheck;
-use umberpond_scheduling::{Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -44,7 +44,7 @@
     let third = waits(queue.offer(now, item(now, 1, 500)));
     assert_eq!(queue.start_next(now), None);
     queue.finish(Some(millis(20)));
-    assert_eq!(queue.start_next(now), Some(Started::Run(third)));
+    assert_eq!(queue.start_next(now), Some(Dequeued::Run(third)));
     assert_eq!(queue.start_next(now), None);
 }
 
@@ -59,7 +59,7 @@
     let mut order = Vec::new();
     for _ in 0..3 {
         queue.finish(Some(millis(10)));
-        let Some(Started::Run(ticket)) = queue.start_next(now) else { panic!("nothing waits") };
+        let Some(Dequeued::Run(ticket)) = queue.start_next(now) else { panic!("nothing waits") };
         order.push(ticket);
     }
     assert_eq!(order, [soon, late, low]);
@@ -77,9 +77,9 @@
     let in_time = waits(queue.offer(now, slow(800)));
     let later = now + millis(120);
     queue.finish(Some(millis(100)));
-    assert_eq!(queue.start_next(later), Some(Started::Run(in_time)));
+    assert_eq!(queue.start_next(later), Some(Dequeued::Run(in_time)));
     queue.finish(Some(millis(100)));
-    assert_eq!(queue.start_next(later), Some(Started::Run(hopeless)));
+    assert_eq!(queue.start_next(later), Some(Dequeued::Run(hopeless)));
 }
 
 #[test]
@@ -115,7 +115,7 @@
     let short = WorkItem { deadline: now + millis(30), service: millis(10), ..item(now, 1, 20) };
     let ticket = waits(queue.offer(now, short));
     queue.finish(Some(millis(50)));
-    assert_eq!(queue.start_next(now + millis(50)), Some(Started::Expire(ticket)));
+    assert_eq!(queue.start_next(now + millis(50)), Some(Dequeued::Expire(ticket)));
     assert_eq!(queue.offer(now + millis(50), short), Decision::Refuse(Refusal::Expired));
 }
 
@@ -127,7 +127,7 @@
     let long = WorkItem { deadline: now + millis(150), service: millis(120), ..item(now, 1, 140) };
     let ticket = waits(queue.offer(now, long));
     queue.finish(Some(millis(80)));
-    assert_eq!(queue.start_next(now + millis(80)), Some(Started::Expire(ticket)));
+    assert_eq!(queue.start_next(now + millis(80)), Some(Dequeued::Expire(ticket)));
     assert_eq!(queue.offer(now + millis(80), long), Decision::Refuse(Refusal::Expired));
 }
 
@@ -174,7 +174,7 @@
             }
             while let Some(started) = queue.start_next(now) {
                 waiting -= 1;
-                running += u32::from(matches!(started, Started::Run(_)));
+                running += u32::from(matches!(started, Dequeued::Run(_)));
             }
             let report = queue.report(Instant::now());
             let is_idle_with_work = running < slots && waiting > 0;
@@ -214,13 +214,13 @@
     let later = waits(queue.offer(now, WorkItem { is_later_try: true, ..item(now, 1, 400) }));
     let first = waits(queue.offer(now, item(now, 1, 600)));
     let less_urgent = waits(queue.offer(now, item(now, 2, 300)));
-    let order: Vec<Option<Started>> = (0..3)
+    let order: Vec<Option<Dequeued>> = (0..3)
         .map(|_| {
             queue.finish(Some(millis(10)));
             queue.start_next(now)
         })
         .collect();
-    assert_eq!(order, [first, later, less_urgent].map(|ticket| Some(Started::Run(ticket))));
+    assert_eq!(order, [first, later, less_urgent].map(|ticket| Some(Dequeued::Run(ticket))));
 }
 
 /// What can't meet its objective any more takes no slot for which another one is about to come.
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -7,7 +7,7 @@
 
 use umberpond_model::ServiceName;
 use umberpond_scheduling::{
-    CallFailureEstimator, CallLevel, CallOutcome, Decision, Dependent, PendingRun, Started, Ticket,
+    CallFailureEstimator, CallLevel, CallOutcome, Decision, Dependent, Dequeued, PendingRun, Ticket,
     WaitBounds, WorkItem, WorkQueue,
 };
 
@@ -300,11 +300,11 @@
         let now = self.instant(self.now);
         while let Some(started) = self.services[service][queue].start_next(now) {
             match started {
-                Started::Run(ticket) => {
+                Dequeued::Run(ticket) => {
                     let request = self.waiting.remove(&(service, queue, ticket));
                     self.start(request.expect("it waits"));
                 }
-                Started::Expire(ticket) => {
+                Dequeued::Expire(ticket) => {
                     let request = self.waiting.remove(&(service, queue, ticket));
                     self.refused(request.expect("it waits"));
                 }
--- a/crates/scheduling/tests/support/gate.rs
+++ b/crates/scheduling/tests/support/gate.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use umberpond_model::TenantNumber;
-use umberpond_scheduling::{Decision, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{Decision, Dequeued, Ticket, WorkItem, WorkQueue};
 
 use super::Numbers;
 
@@ -81,8 +81,8 @@
             return Some(Leaving::InVain(request));
         }
         Some(match self.queue.start_next(now)? {
-            Started::Run(ticket) => Leaving::Starts(self.forget(ticket)),
-            Started::Expire(ticket) => Leaving::InVain(self.forget(ticket)),
+            Dequeued::Run(ticket) => Leaving::Starts(self.forget(ticket)),
+            Dequeued::Expire(ticket) => Leaving::InVain(self.forget(ticket)),
         })
     }
 
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -5,7 +5,7 @@
 
 use quickcheck::QuickCheck;
 use umberpond_model::{RequestRate, TenantNumber};
-use umberpond_scheduling::{CallLevel, Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{CallLevel, Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 
 const SLOTS: u32 = 9;
 const FULL: u64 = 20 * SLOTS as u64;
@@ -53,7 +53,7 @@
 }
 
 /// Ends one run of `tenant`, and starts whatever is next.
-fn next(queue: &mut WorkQueue, now: Instant, tenant: u64) -> Option<Started> {
+fn next(queue: &mut WorkQueue, now: Instant, tenant: u64) -> Option<Dequeued> {
     queue.settle(TenantNumber(tenant), SERVICE);
     queue.finish(Some(SERVICE));
     queue.start_next(now)
@@ -72,7 +72,7 @@
     let (mut queue, _) = greedy_queue(now, 60);
     make_greedy(&mut queue, now, 30);
     let other = waits(queue.offer(now, item(now, 1)));
-    assert_eq!(next(&mut queue, now, GREEDY), Some(Started::Run(other)));
+    assert_eq!(next(&mut queue, now, GREEDY), Some(Dequeued::Run(other)));
 }
 
 #[test]
@@ -82,7 +82,7 @@
     make_greedy(&mut queue, now, 30);
     let _ = waits(queue.offer(now, item(now, 1)));
     let urgent = waits(queue.offer(now, WorkItem { priority: 0, ..item(now, GREEDY) }));
-    assert_eq!(next(&mut queue, now, GREEDY), Some(Started::Run(urgent)));
+    assert_eq!(next(&mut queue, now, GREEDY), Some(Dequeued::Run(urgent)));
 }
 
 /// The run that waits for it holds a slot elsewhere: held back, it would cost others more than its own time.
@@ -95,7 +95,7 @@
     let _ = waits(queue.offer(now, WorkItem { objective_at: now + millis(800), ..item(now, 1) }));
     let call = Some(CallLevel::FIRST);
     let call = waits(queue.offer(now, WorkItem { objective_at, call, ..item(now, GREEDY) }));
-    assert_eq!(next(&mut queue, now, GREEDY), Some(Started::Run(call)));
+    assert_eq!(next(&mut queue, now, GREEDY), Some(Dequeued::Run(call)));
 }
 
 /// A later try can meet its objective only in part.
@@ -105,7 +105,7 @@
     let (mut queue, tickets) = greedy_queue(now, 60);
     make_greedy(&mut queue, now, 30);
     let _ = waits(queue.offer(now, WorkItem { is_later_try: true, ..item(now, 1) }));
-    assert_eq!(next(&mut queue, now, GREEDY), Some(Started::Run(tickets[30])));
+    assert_eq!(next(&mut queue, now, GREEDY), Some(Dequeued::Run(tickets[30])));
 }
 
 #[test]
@@ -117,7 +117,7 @@
     let soon = waits(queue.offer(now, ends_at(2, 300)));
     let middle = waits(queue.offer(now, ends_at(GREEDY, 600)));
     let order: Vec<_> = (0..3).map(|_| next(&mut queue, now, GREEDY)).collect();
-    assert_eq!(order, [soon, middle, late].map(|ticket| Some(Started::Run(ticket))));
+    assert_eq!(order, [soon, middle, late].map(|ticket| Some(Dequeued::Run(ticket))));
 }
 
 /// What it did not use while it was idle is no credit: it gets no more than a burst before the others.
@@ -134,7 +134,7 @@
     let back: Vec<Ticket> = (0..60).map(|_| waits(queue.offer(now, item(now, 1)))).collect();
     let starts: Vec<_> = (0..60).map(|_| next(&mut queue, now, GREEDY)).collect();
     let is_back =
-        |started: &&Option<Started>| matches!(started, Some(Started::Run(ticket)) if back.contains(ticket));
+        |started: &&Option<Dequeued>| matches!(started, Some(Dequeued::Run(ticket)) if back.contains(ticket));
     let of_it = starts.iter().filter(is_back).count();
     assert!((25..=40).contains(&of_it), "{of_it} of 60");
 }
@@ -195,10 +195,10 @@
     let (mut queue, _) = greedy_queue(now, 20);
     let honest: Vec<Ticket> = (0..20).map(|_| waits(queue.offer(now, item(now, 1)))).collect();
     let first = next(&mut queue, now, 2);
-    assert!(matches!(first, Some(Started::Run(ticket)) if !honest.contains(&ticket)));
+    assert!(matches!(first, Some(Dequeued::Run(ticket)) if !honest.contains(&ticket)));
     queue.settle(TenantNumber(GREEDY), SERVICE * 40);
     queue.finish(Some(SERVICE));
-    let Some(Started::Run(second)) = queue.start_next(now) else { panic!("requests wait") };
+    let Some(Dequeued::Run(second)) = queue.start_next(now) else { panic!("requests wait") };
     assert!(honest.contains(&second), "the other one has taken forty times as long as it was expected to");
 }
 
@@ -260,7 +260,7 @@
             self.queue.finish(Some(SERVICE));
         }
         while let Some(started) = self.queue.start_next(self.now) {
-            if let Started::Run(ticket) = started {
+            if let Dequeued::Run(ticket) = started {
                 self.start(self.tenants[&ticket]);
             }
         }
@@ -332,7 +332,7 @@
             ends.pop_front();
             queue.finish(Some(SERVICE));
         }
-        while matches!(queue.start_next(now), Some(Started::Run(_))) {
+        while matches!(queue.start_next(now), Some(Dequeued::Run(_))) {
             ends.push_back(now + SERVICE);
         }
         let _ = queue.take_displaced();
@@ -392,7 +392,7 @@
     }
     make_greedy(&mut queue, now, 30);
     let other = waits(queue.offer(now, item(now, 1)));
-    assert_eq!(next(&mut queue, now, GREEDY), Some(Started::Run(other)));
+    assert_eq!(next(&mut queue, now, GREEDY), Some(Dequeued::Run(other)));
 }
 
 /// A cold back end bears less than its slots would; equal parts are those of what it bears.
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -6,7 +6,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
-use umberpond_scheduling::{Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 use umberpond_selection::{
     AnswerTimes, Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, Selector, SelectorSettings,
 };
@@ -352,11 +352,11 @@
     fn start_waiting(&mut self, at: usize) {
         let now = self.at();
         while let Some(started) = self.back_ends[at].queue.start_next(now) {
-            let (Started::Run(ticket) | Started::Expire(ticket)) = started;
+            let (Dequeued::Run(ticket) | Dequeued::Expire(ticket)) = started;
             let number = self.back_ends[at].waiting.remove(&ticket).expect("it waits");
             match started {
-                Started::Run(_) => self.start(number),
-                Started::Expire(_) => self.on_refused(number),
+                Dequeued::Run(_) => self.start(number),
+                Dequeued::Expire(_) => self.on_refused(number),
             }
         }
     }
