--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -325,7 +325,7 @@
                 Err(refusal)
             }
             Ok(Err(_sender_dropped)) => Err(Refusal::Closed),
-            Err(_elapsed) if item.hold_until < item.deadline => Err(Refusal::HeldTooLong),
+            Err(_elapsed) if item.hold_until < item.deadline => Err(Refusal::QueueTimeout),
             Err(_elapsed) => Err(Refusal::Expired),
         }
     }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -438,7 +438,7 @@
     match refusal {
         Refusal::Closed => NotRun::before_back_end(NotRunReason::Draining),
         Refusal::Expired => NotRun::before_back_end(NotRunReason::DeadlineBeforeRun),
-        Refusal::QueueFull | Refusal::HeldTooLong => NotRun::before_back_end(NotRunReason::Overloaded),
+        Refusal::QueueFull | Refusal::QueueTimeout => NotRun::before_back_end(NotRunReason::Overloaded),
         Refusal::WaitTooLong { expected }
         | Refusal::Slowed { expected }
         | Refusal::OverShare { expected } => {
--- a/crates/scheduling/src/decision.rs
+++ b/crates/scheduling/src/decision.rs
@@ -37,7 +37,7 @@
     },
     /// It has waited for as long as its sender lets it.
     #[error("it has waited for as long as it may")]
-    HeldTooLong,
+    QueueTimeout,
     /// The deadline passed while the request waited.
     #[error("the deadline passed in the queue")]
     Expired,
