--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -183,7 +183,7 @@
         }
         let item = work_item(attempt);
         let admitted = self.admission.admit(item).await;
-        if let Err(Refusal::Slowed { expected }) = admitted {
+        if let Err(Refusal::BackEndSlow { expected }) = admitted {
             self.tell_slowed(attempt, expected);
         }
         admitted
@@ -440,7 +440,7 @@
         Refusal::Expired => NotRun::before_back_end(NotRunReason::DeadlineBeforeRun),
         Refusal::QueueFull | Refusal::QueueTimeout => NotRun::before_back_end(NotRunReason::Overloaded),
         Refusal::WaitTooLong { expected }
-        | Refusal::Slowed { expected }
+        | Refusal::BackEndSlow { expected }
         | Refusal::OverShare { expected } => {
             NotRun { retry_after: Some(expected), ..NotRun::before_back_end(NotRunReason::Overloaded) }
         }
--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -81,6 +81,6 @@
         Refusal::OverShare { .. } => Some("displaced"),
         Refusal::WaitTooLong { .. } => Some("wait-too-long"),
         Refusal::QueueFull => Some("queue-full"),
-        Refusal::Closed | Refusal::QueueTimeout | Refusal::Expired | Refusal::Slowed { .. } => None,
+        Refusal::Closed | Refusal::QueueTimeout | Refusal::Expired | Refusal::BackEndSlow { .. } => None,
     }
 }
--- a/crates/scheduling/src/decision.rs
+++ b/crates/scheduling/src/decision.rs
@@ -22,7 +22,7 @@
     },
     /// The back end is slow at this moment: the answer would be late, but need not be elsewhere.
     #[error("the back end is slow at this moment")]
-    Slowed {
+    BackEndSlow {
         /// Time until the answer that was expected.
         expected: Duration,
     },
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -160,7 +160,7 @@
             return Decision::Refuse(Refusal::WaitTooLong { expected: self.mean_service_time() });
         }
         if let Some(expected) = self.slowed_end(now, item) {
-            return Decision::Refuse(Refusal::Slowed { expected });
+            return Decision::Refuse(Refusal::BackEndSlow { expected });
         }
         if self.has_slot_for(now, &item) && self.is_first(&item) && self.cold_start_limiter.may_start(now) {
             if self.waiting.is_empty() {
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -105,7 +105,7 @@
     let request = item(now, 250, 110);
     assert_eq!(open_queue(4).offer(now, request), Decision::Start);
     let refused = slow_queue(now, 250).offer(now, request);
-    assert_eq!(refused, Decision::Refuse(Refusal::Slowed { expected: millis(275) }));
+    assert_eq!(refused, Decision::Refuse(Refusal::BackEndSlow { expected: millis(275) }));
     assert_eq!(slow_queue(now, 150).offer(now, request), Decision::Start);
     assert_eq!(slow_queue(now, 50).offer(now, request), Decision::Start);
 }
@@ -127,7 +127,7 @@
     let of_a_run = WorkItem { call: Some(call), ..item(now, 60, 28) };
     assert_eq!(slow_queue(now, 250).offer(now, of_a_run), Decision::Start);
     let alone = slow_queue(now, 250).offer(now, item(now, 60, 28));
-    assert!(matches!(alone, Decision::Refuse(Refusal::Slowed { .. })), "{alone:?}");
+    assert!(matches!(alone, Decision::Refuse(Refusal::BackEndSlow { .. })), "{alone:?}");
 }
 
 #[test]
@@ -142,7 +142,7 @@
     };
     assert!(matches!(offer_to_full(&mut open_queue(4)), Decision::Wait(_)));
     let slowed = offer_to_full(&mut slow_queue(now, 250));
-    assert!(matches!(slowed, Decision::Refuse(Refusal::Slowed { .. })), "{slowed:?}");
+    assert!(matches!(slowed, Decision::Refuse(Refusal::BackEndSlow { .. })), "{slowed:?}");
 }
 
 /// A back end that gets no work tells nothing. Were its last word to count for ever, it would never get work again.
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -268,7 +268,7 @@
                 self.plan(hold, Step::Hold(number, ticket));
             }
             Decision::Refuse(refusal) => {
-                let is_slowed = matches!(refusal, Refusal::Slowed { .. });
+                let is_slowed = matches!(refusal, Refusal::BackEndSlow { .. });
                 self.tally.slowed += u32::from(is_slowed && self.now >= WARM_UP);
                 self.on_refused(number);
                 self.plan(HOP, Step::Ask(number));
