--- a/crates/forwarding/src/inbound/admission/tests.rs
+++ b/crates/forwarding/src/inbound/admission/tests.rs
@@ -25,7 +25,7 @@
         hold_until: now() + TIME,
         patience: TIME,
         service: Duration::from_millis(50),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant,
         call: None,
     }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -428,7 +428,7 @@
         hold_until: attempt.hold_until.into_std(),
         patience: attempt.patience,
         service: attempt.service_time,
-        is_later_try: attempt.is_later_try,
+        is_caller_retry: attempt.is_caller_retry,
         tenant: attempt.sharing_tenant(),
         call: attempt.call.map(|call| call.level),
     }
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -109,7 +109,7 @@
     /// Time that the back end is expected to take.
     pub service_time: Duration,
     /// Whether the caller has sent the request before, under another identity, and was refused.
-    pub is_later_try: bool,
+    pub is_caller_retry: bool,
     /// Whether it is sent again after it had reached a back end, or is a call of a run that was.
     pub is_repeat: bool,
     /// What waits for it, if it is a call of a run at the back end beside the caller's node.
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -167,7 +167,7 @@
             patience: request.patience(choice.service),
             hold_until: request.hold_until(),
             service_time: choice.service,
-            is_later_try: request.is_later_try,
+            is_caller_retry: request.is_caller_retry,
             is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RepeatedRun,
             call: request.call(),
         }
--- a/crates/forwarding/src/outbound/caller_times.rs
+++ b/crates/forwarding/src/outbound/caller_times.rs
@@ -64,7 +64,7 @@
         let Some(callers) = self.routes.get_mut(route) else { return false };
         callers.record(time);
         callers.record_first_time(time);
-        callers.is_later_try(time)
+        callers.is_caller_retry(time)
     }
 
     /// Takes in that a caller of `route` was refused which waits for `left` longer, and may come back within that time.
@@ -114,7 +114,7 @@
         self.times.retain(|common| common.requests > 0);
     }
 
-    fn is_later_try(&self, time: Duration) -> bool {
+    fn is_caller_retry(&self, time: Duration) -> bool {
         self.spent_before(time).is_some()
     }
 
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -103,7 +103,7 @@
         let time = inherited_time(time, arrived, run);
         // A call brings what is left of its run, so that its time tells nothing of earlier tries.
         let tells_tries = told.is_some() && run.is_none();
-        let is_later_try = tells_tries && self.caller_times.lock().record(&route.name, caller_time);
+        let is_caller_retry = tells_tries && self.caller_times.lock().record(&route.name, caller_time);
         let version = table.version();
         let key = self.dialect.caller_key.and_then(|name| head.fields.get(name)).cloned();
         let fingerprint = RequestFingerprint::of(&RequestContent {
@@ -129,7 +129,7 @@
             arrived: PastMoment::new(arrived, self.inbound.suspended()),
             time,
             caller_time,
-            is_later_try,
+            is_caller_retry,
             origin: source.origin,
             run: source.run,
         })
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -45,7 +45,7 @@
     /// Time that the caller waits, by its own word, or else that of the route.
     pub(super) caller_time: Duration,
     /// Whether the caller has sent it before and was refused.
-    pub(super) is_later_try: bool,
+    pub(super) is_caller_retry: bool,
     /// Whether a run at the back end beside this node has made it, and which.
     pub(super) origin: CallOrigin,
     /// The run that has made it; absent if none is known to have.
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -48,7 +48,7 @@
         hold_until: now,
         patience: Duration::ZERO,
         service_time: Duration::ZERO,
-        is_later_try: false,
+        is_caller_retry: false,
         is_repeat,
         call: None,
     }
--- a/crates/scheduling/src/place.rs
+++ b/crates/scheduling/src/place.rs
@@ -12,7 +12,7 @@
     /// Whether no run waits for it.
     pub(crate) is_new: bool,
     pub(crate) is_late: bool,
-    pub(crate) is_later_try: bool,
+    pub(crate) is_caller_retry: bool,
     pub(crate) objective_at: Instant,
     pub(crate) ticket: Ticket,
 }
@@ -23,7 +23,7 @@
     priority: u8,
     is_new: bool,
     is_late: bool,
-    is_later_try: bool,
+    is_caller_retry: bool,
 }
 
 impl Place {
@@ -33,7 +33,7 @@
             priority: self.priority,
             is_new: self.is_new,
             is_late: self.is_late,
-            is_later_try: self.is_later_try,
+            is_caller_retry: self.is_caller_retry,
         }
     }
 
@@ -43,7 +43,7 @@
             priority: item.priority,
             is_new: !item.is_call(),
             is_late: false,
-            is_later_try: !item.is_call() && item.is_later_try,
+            is_caller_retry: !item.is_call() && item.is_caller_retry,
             objective_at: item.objective_at,
             ticket,
         }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -365,7 +365,7 @@
     /// time.
     fn slowed_end(&mut self, now: Instant, item: WorkItem) -> Option<Duration> {
         let factor = self.slowdown.factor(now);
-        if factor <= 1.0 || item.is_later_try || item.is_call() || item.is_late(now) {
+        if factor <= 1.0 || item.is_caller_retry || item.is_call() || item.is_late(now) {
             return None;
         }
         let usual_wait = self.expected_wait(now, item);
--- a/crates/scheduling/src/work_item.rs
+++ b/crates/scheduling/src/work_item.rs
@@ -29,7 +29,7 @@
     /// Time that the back end is expected to take for it at its usual speed.
     pub service: Duration,
     /// Whether its caller has sent it before and was refused: its objective can be met only in part by now.
-    pub is_later_try: bool,
+    pub is_caller_retry: bool,
     /// Tenant on whose behalf it is sent; absent if it is of none.
     pub tenant: Option<TenantNumber>,
     /// Level of the run at another back end that waits for it, if it is a call. The lower it is, the longer a wait the call is taken in with.
@@ -59,7 +59,7 @@
 
     /// Whether it is of less use than one that comes in time. A call is not, however late: its run waits.
     pub(crate) fn has_missed(&self, now: Instant) -> bool {
-        !self.is_call() && (self.is_later_try || self.is_late(now))
+        !self.is_call() && (self.is_caller_retry || self.is_late(now))
     }
 
     /// Time by which it is reckoned to overtake others.
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -17,7 +17,7 @@
         hold_until: now + millis(2_000),
         patience: millis(2_000),
         service: millis(50),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -117,7 +117,7 @@
         hold_until: now + millis(5_000),
         patience: millis(1_500),
         service: millis(100),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     };
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -17,7 +17,7 @@
         hold_until: now + millis(10_000),
         patience: millis(10_000),
         service: millis(50),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
@@ -211,7 +211,7 @@
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let later = waits(queue.offer(now, WorkItem { is_later_try: true, ..item(now, 1, 400) }));
+    let later = waits(queue.offer(now, WorkItem { is_caller_retry: true, ..item(now, 1, 400) }));
     let first = waits(queue.offer(now, item(now, 1, 600)));
     let less_urgent = waits(queue.offer(now, item(now, 2, 300)));
     let order: Vec<Option<Dequeued>> = (0..3)
@@ -237,7 +237,7 @@
     let impatient = WorkItem { patience: Duration::ZERO, ..in_time };
     assert!(matches!(queue.offer(begun, impatient), Decision::Refuse(_)));
     queue.finish(Some(Duration::from_millis(100)));
-    let later = WorkItem { is_later_try: true, ..in_time };
+    let later = WorkItem { is_caller_retry: true, ..in_time };
     let soon = begun + Duration::from_millis(40);
     assert!(matches!(queue.offer(soon, later), Decision::Refuse(Refusal::WaitTooLong { .. })));
     let more_urgent = WorkItem { priority: 0, ..later };
--- a/crates/scheduling/tests/ranks.rs
+++ b/crates/scheduling/tests/ranks.rs
@@ -17,7 +17,7 @@
         hold_until: now + millis(400),
         patience: millis(80),
         service: millis(140),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -62,7 +62,7 @@
     kind: &'static Kind,
     first_sent: u64,
     sent: u64,
-    is_later_try: bool,
+    is_caller_retry: bool,
     /// The run that has made it.
     run: Option<usize>,
     queue: (usize, usize),
@@ -157,7 +157,7 @@
             kind,
             first_sent: sent,
             sent,
-            is_later_try: false,
+            is_caller_retry: false,
             run,
             queue: (kind.service, 0),
             started: 0,
@@ -232,7 +232,7 @@
     }
 
     fn item(&self, request: usize) -> WorkItem {
-        let Request { kind, sent, run, is_later_try, .. } = &self.requests[request];
+        let Request { kind, sent, run, is_caller_retry, .. } = &self.requests[request];
         let run = run.map(|run| &self.requests[run]);
         let run_deadline = run.map_or(u64::MAX, |run| run.sent + run.kind.deadline);
         let run_rank = run.map_or(u8::MAX, |run| run.kind.rank);
@@ -252,7 +252,7 @@
             hold_until: bounds.hold_until(),
             patience: bounds.patience(self.instant(self.now), service),
             service,
-            is_later_try: *is_later_try,
+            is_caller_retry: *is_caller_retry,
             tenant: None,
             call: run.map(|run| run.level),
         }
@@ -322,13 +322,13 @@
 
     /// A caller comes back once; a call does not.
     fn refused(&mut self, request: usize) {
-        let Request { kind, first_sent, run, is_later_try, .. } = self.requests[request];
+        let Request { kind, first_sent, run, is_caller_retry, .. } = self.requests[request];
         let left = (first_sent + kind.deadline).saturating_sub(self.now);
-        if run.is_some() || is_later_try || left == 0 {
+        if run.is_some() || is_caller_retry || left == 0 {
             return self.close(request, false);
         }
         let next = self.now + (left as f64 * COME_BACK) as u64;
-        self.requests[request].is_later_try = true;
+        self.requests[request].is_caller_retry = true;
         self.requests[request].sent = next;
         self.at(next, Event::Arrive(request));
     }
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -20,7 +20,7 @@
         hold_until: now + millis(2_000),
         patience: millis(objective / 2).saturating_sub(millis(service)),
         service: millis(service),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
@@ -114,7 +114,7 @@
 #[test]
 fn a_later_try_and_one_that_is_late_anywhere_are_not_refused_for_slowness() {
     let now = Instant::now();
-    let later_try = WorkItem { is_later_try: true, ..item(now, 250, 110) };
+    let later_try = WorkItem { is_caller_retry: true, ..item(now, 250, 110) };
     assert_eq!(slow_queue(now, 250).offer(now, later_try), Decision::Start);
     assert_eq!(slow_queue(now, 250).offer(now, item(now, 100, 110)), Decision::Start);
 }
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -249,7 +249,7 @@
             hold_until: now + Duration::from_secs_f64(self.hold_seconds()),
             patience: Duration::from_secs_f64(patience),
             service: Duration::from_secs_f64(load.service),
-            is_later_try: false,
+            is_caller_retry: false,
             tenant: self.tenant(request),
             call: None,
         }
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -24,7 +24,7 @@
         hold_until: now + millis(60_000),
         patience: millis(60_000),
         service: SERVICE,
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: Some(TenantNumber(tenant)),
         call: None,
     }
@@ -104,7 +104,7 @@
     let now = Instant::now();
     let (mut queue, tickets) = greedy_queue(now, 60);
     make_greedy(&mut queue, now, 30);
-    let _ = waits(queue.offer(now, WorkItem { is_later_try: true, ..item(now, 1) }));
+    let _ = waits(queue.offer(now, WorkItem { is_caller_retry: true, ..item(now, 1) }));
     assert_eq!(next(&mut queue, now, GREEDY), Some(Dequeued::Run(tickets[30])));
 }
 
@@ -184,7 +184,7 @@
     make_greedy(&mut queue, now, 20);
     let impatient = WorkItem { patience: Duration::ZERO, ..item(now, GREEDY) };
     assert!(matches!(queue.offer(now, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
-    let later = WorkItem { is_later_try: true, ..item(now, 2) };
+    let later = WorkItem { is_caller_retry: true, ..item(now, 2) };
     assert!(matches!(queue.offer(now, later), Decision::Wait(_)));
 }
 
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -294,7 +294,7 @@
             hold_until: arrived + hold,
             patience,
             service: request.service,
-            is_later_try: false,
+            is_caller_retry: false,
             tenant: None,
             call: None,
         }
