--- a/crates/forwarding/src/inbound/admission/tests.rs
+++ b/crates/forwarding/src/inbound/admission/tests.rs
@@ -23,7 +23,7 @@
         objective_at: now() + TIME,
         deadline: now() + TIME,
         hold_until: now() + TIME,
-        patience: TIME,
+        max_queue_wait: TIME,
         service: Duration::from_millis(50),
         is_caller_retry: false,
         tenant,
--- a/crates/forwarding/src/inbound/body_link.rs
+++ b/crates/forwarding/src/inbound/body_link.rs
@@ -80,7 +80,7 @@
 fn on_link(item: WorkItem, transfer: Duration) -> WorkItem {
     WorkItem {
         objective_at: item.objective_at.checked_sub(item.service).unwrap_or(item.objective_at),
-        patience: item.patience.saturating_sub(transfer),
+        max_queue_wait: item.max_queue_wait.saturating_sub(transfer),
         service: transfer,
         ..item
     }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -176,7 +176,7 @@
         if let Some(pending) = pending {
             let began = Instant::now();
             let turn = self.link.turn(work_item(attempt), pending.length()).await?;
-            attempt.patience = attempt.patience.saturating_sub(began.elapsed());
+            attempt.max_queue_wait = attempt.max_queue_wait.saturating_sub(began.elapsed());
             if let Some(turn) = turn {
                 pending.hold_turn(turn);
             }
@@ -382,7 +382,7 @@
             running: load.running,
             waiting: load.waiting,
             slots: load.slots,
-            patience_millis: millis(attempt.patience),
+            patience_millis: millis(attempt.max_queue_wait),
         });
         AttemptResult::NotRun(NotRun { load: Some(load), ..not_run })
     }
@@ -426,7 +426,7 @@
         objective_at: attempt.objective_at.into_std(),
         deadline: attempt.deadline.into_std(),
         hold_until: attempt.hold_until.into_std(),
-        patience: attempt.patience,
+        max_queue_wait: attempt.max_queue_wait,
         service: attempt.service_time,
         is_caller_retry: attempt.is_caller_retry,
         tenant: attempt.sharing_tenant(),
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -105,7 +105,7 @@
     /// When the request is given up if it still waits for a slot.
     pub hold_until: Instant,
     /// Longest time that the request may be expected to wait for a slot.
-    pub patience: Duration,
+    pub max_queue_wait: Duration,
     /// Time that the back end is expected to take.
     pub service_time: Duration,
     /// Whether the caller has sent the request before, under another identity, and was refused.
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -164,7 +164,7 @@
             is_far: !choice.is_near,
             objective_at: request.objective_at(),
             deadline: request.deadline(),
-            patience: request.patience(choice.service),
+            max_queue_wait: request.max_queue_wait(choice.service),
             hold_until: request.hold_until(),
             service_time: choice.service,
             is_caller_retry: request.is_caller_retry,
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -75,8 +75,8 @@
     }
 
     /// Longest wait for a slot.
-    pub(super) fn patience(&self, service: Duration) -> Duration {
-        self.wait_bounds().patience(Instant::now().into_std(), service)
+    pub(super) fn max_queue_wait(&self, service: Duration) -> Duration {
+        self.wait_bounds().max_queue_wait(Instant::now().into_std(), service)
     }
 
     fn wait_bounds(&self) -> WaitBounds {
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -46,7 +46,7 @@
         objective_at: now,
         deadline: now + Duration::from_secs(2),
         hold_until: now,
-        patience: Duration::ZERO,
+        max_queue_wait: Duration::ZERO,
         service_time: Duration::ZERO,
         is_caller_retry: false,
         is_repeat,
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -369,13 +369,13 @@
             return None;
         }
         let usual_wait = self.expected_wait(now, item);
-        if usual_wait > item.patience {
+        if usual_wait > item.max_queue_wait {
             return None;
         }
         let wait = usual_wait.mul_f64(factor);
         let service = item.service.mul_f64(factor);
-        let patience = item.patience.saturating_sub(service.saturating_sub(item.service));
-        let is_refused = wait + service > item.left(now) || wait > patience;
+        let max_queue_wait = item.max_queue_wait.saturating_sub(service.saturating_sub(item.service));
+        let is_refused = wait + service > item.left(now) || wait > max_queue_wait;
         is_refused.then_some(wait + service)
     }
 
--- a/crates/scheduling/src/wait_bounds.rs
+++ b/crates/scheduling/src/wait_bounds.rs
@@ -48,7 +48,7 @@
     /// Longest wait for a slot at `now`, if the back end takes `service` for it. As long as a refusal still comes early, a request that a caller
     /// can send again waits only where it is expected to meet its objective. Others wait as long as they can.
     #[must_use]
-    pub fn patience(&self, now: Instant, service: Duration) -> Duration {
+    pub fn max_queue_wait(&self, now: Instant, service: Duration) -> Duration {
         let is_early = now < self.arrived + self.objective.mul_f64(EARLY_SHARE);
         let until_deadline = self.deadline.saturating_duration_since(now).saturating_sub(service);
         if is_early && self.dependent == Dependent::Caller {
--- a/crates/scheduling/src/work_item.rs
+++ b/crates/scheduling/src/work_item.rs
@@ -25,7 +25,7 @@
     /// When it is given up if it still waits.
     pub hold_until: Instant,
     /// Longest wait with which it is taken in, as far as can be expected.
-    pub patience: Duration,
+    pub max_queue_wait: Duration,
     /// Time that the back end is expected to take for it at its usual speed.
     pub service: Duration,
     /// Whether its caller has sent it before and was refused: its objective can be met only in part by now.
@@ -69,7 +69,7 @@
 
     /// Longest expected wait with which it is taken in.
     pub(crate) fn longest_wait(&self) -> Duration {
-        self.call.map_or(self.patience, |level| self.patience.mul_f64(level.patience_share()))
+        self.call.map_or(self.max_queue_wait, |level| self.max_queue_wait.mul_f64(level.patience_share()))
     }
 
     /// Most requests that may wait when it comes, as a multiple of the slots.
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -15,7 +15,7 @@
         objective_at: now + millis(objective),
         deadline: now + millis(2_000),
         hold_until: now + millis(2_000),
-        patience: millis(2_000),
+        max_queue_wait: millis(2_000),
         service: millis(50),
         is_caller_retry: false,
         tenant: None,
@@ -66,7 +66,7 @@
 fn a_late_call_is_taken_in_where_a_late_new_request_is_refused() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    let impatient = WorkItem { patience: Duration::ZERO, ..new_work(now, 500) };
+    let impatient = WorkItem { max_queue_wait: Duration::ZERO, ..new_work(now, 500) };
     assert!(matches!(queue.offer(now, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
     assert!(matches!(queue.offer(now, new_work(now, 20)), Decision::Refuse(Refusal::WaitTooLong { .. })));
     waits(queue.offer(now, call(now, 20)));
@@ -76,7 +76,7 @@
 fn a_queue_full_of_new_requests_takes_calls() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    let patient = WorkItem { patience: millis(100_000), ..new_work(now, 500) };
+    let patient = WorkItem { max_queue_wait: millis(100_000), ..new_work(now, 500) };
     while matches!(queue.offer(now, patient), Decision::Wait(_)) {}
     assert_eq!(queue.offer(now, patient), Decision::Refuse(Refusal::QueueFull));
     let call = waits(queue.offer(now, call(now, 300)));
@@ -103,7 +103,7 @@
     let mut queue = queue_busy_with(now, WorkItem { priority: 0, ..new_work(now, 500) });
     assert_eq!(queue.report(now).refused_rank, None);
     let refuse = |queue: &mut WorkQueue, priority, at| {
-        let impatient = WorkItem { priority, patience: Duration::ZERO, ..new_work(at, 500) };
+        let impatient = WorkItem { priority, max_queue_wait: Duration::ZERO, ..new_work(at, 500) };
         assert!(matches!(queue.offer(at, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
     };
     refuse(&mut queue, 2, now);
@@ -128,7 +128,7 @@
     queue.offer(now, new_work(now, 500));
     let of_level = |level| {
         let work = CallLevel::of_hash(level);
-        WorkItem { call: Some(work), patience: millis(80), ..new_work(now, 300) }
+        WorkItem { call: Some(work), max_queue_wait: millis(80), ..new_work(now, 300) }
     };
     let wait = queue.expected_wait(now, of_level(0));
     assert!(wait > millis(40) && wait < millis(80), "{wait:?} is more than half of the patience");
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -115,7 +115,7 @@
         objective_at: now + millis(5_000),
         deadline: now + millis(5_000),
         hold_until: now + millis(5_000),
-        patience: millis(1_500),
+        max_queue_wait: millis(1_500),
         service: millis(100),
         is_caller_retry: false,
         tenant: None,
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -15,7 +15,7 @@
         objective_at: now + millis(objective),
         deadline: now + millis(10_000),
         hold_until: now + millis(10_000),
-        patience: millis(10_000),
+        max_queue_wait: millis(10_000),
         service: millis(50),
         is_caller_retry: false,
         tenant: None,
@@ -89,7 +89,7 @@
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     queue.finish(Some(millis(100)));
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let impatient = WorkItem { patience: millis(50), ..item(now, 1, 500) };
+    let impatient = WorkItem { max_queue_wait: millis(50), ..item(now, 1, 500) };
     let refusal = Refusal::WaitTooLong { expected: millis(100) };
     assert_eq!(queue.offer(now, impatient), Decision::Refuse(refusal));
 }
@@ -234,7 +234,7 @@
     assert_eq!(queue.offer(begun, in_time), Decision::Start);
     queue.finish(Some(Duration::from_millis(100)));
     assert_eq!(queue.offer(begun, in_time), Decision::Start);
-    let impatient = WorkItem { patience: Duration::ZERO, ..in_time };
+    let impatient = WorkItem { max_queue_wait: Duration::ZERO, ..in_time };
     assert!(matches!(queue.offer(begun, impatient), Decision::Refuse(_)));
     queue.finish(Some(Duration::from_millis(100)));
     let later = WorkItem { is_caller_retry: true, ..in_time };
--- a/crates/scheduling/tests/ranks.rs
+++ b/crates/scheduling/tests/ranks.rs
@@ -15,7 +15,7 @@
         objective_at: now + millis(400),
         deadline: now + millis(1_000),
         hold_until: now + millis(400),
-        patience: millis(80),
+        max_queue_wait: millis(80),
         service: millis(140),
         is_caller_retry: false,
         tenant: None,
@@ -25,7 +25,7 @@
 
 /// A lookup, which takes so long by itself that its sender has no patience left.
 fn lookup(now: Instant) -> WorkItem {
-    WorkItem { priority: 0, patience: Duration::ZERO, service: millis(270), ..order(now) }
+    WorkItem { priority: 0, max_queue_wait: Duration::ZERO, service: millis(270), ..order(now) }
 }
 
 /// A queue before two slots, which orders have taken.
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -250,7 +250,7 @@
             objective_at: bounds.arrived + bounds.objective,
             deadline: bounds.deadline,
             hold_until: bounds.hold_until(),
-            patience: bounds.patience(self.instant(self.now), service),
+            max_queue_wait: bounds.max_queue_wait(self.instant(self.now), service),
             service,
             is_caller_retry: *is_caller_retry,
             tenant: None,
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -18,7 +18,7 @@
         objective_at: now + millis(objective),
         deadline: now + millis(2_000),
         hold_until: now + millis(2_000),
-        patience: millis(objective / 2).saturating_sub(millis(service)),
+        max_queue_wait: millis(objective / 2).saturating_sub(millis(service)),
         service: millis(service),
         is_caller_retry: false,
         tenant: None,
@@ -133,7 +133,7 @@
 #[test]
 fn a_wait_is_expected_to_last_longer_while_the_back_end_is_slow() {
     let now = Instant::now();
-    let request = WorkItem { patience: millis(60), ..item(now, 250, 40) };
+    let request = WorkItem { max_queue_wait: millis(60), ..item(now, 250, 40) };
     let offer_to_full = |queue: &mut WorkQueue| {
         for _ in 0..4 {
             assert_eq!(queue.offer(now, request), Decision::Start);
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -241,13 +241,13 @@
 
     fn item(&self, now: Instant, request: Request) -> WorkItem {
         let load = self.replay.tenants[request.tenant];
-        let patience = (self.replay.objective * PATIENCE_SHARE - load.service).max(0.0);
+        let max_queue_wait = (self.replay.objective * PATIENCE_SHARE - load.service).max(0.0);
         WorkItem {
             priority: 1,
             objective_at: now + Duration::from_secs_f64(self.replay.objective),
             deadline: now + Duration::from_secs_f64(self.replay.deadline),
             hold_until: now + Duration::from_secs_f64(self.hold_seconds()),
-            patience: Duration::from_secs_f64(patience),
+            max_queue_wait: Duration::from_secs_f64(max_queue_wait),
             service: Duration::from_secs_f64(load.service),
             is_caller_retry: false,
             tenant: self.tenant(request),
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -22,7 +22,7 @@
         objective_at: now + millis(20_000),
         deadline: now + millis(60_000),
         hold_until: now + millis(60_000),
-        patience: millis(60_000),
+        max_queue_wait: millis(60_000),
         service: SERVICE,
         is_caller_retry: false,
         tenant: Some(TenantNumber(tenant)),
@@ -182,7 +182,7 @@
     let (mut queue, _) = greedy_queue(now, 30);
     let _ = waits(queue.offer(now, item(now, 1)));
     make_greedy(&mut queue, now, 20);
-    let impatient = WorkItem { patience: Duration::ZERO, ..item(now, GREEDY) };
+    let impatient = WorkItem { max_queue_wait: Duration::ZERO, ..item(now, GREEDY) };
     assert!(matches!(queue.offer(now, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
     let later = WorkItem { is_caller_retry: true, ..item(now, 2) };
     assert!(matches!(queue.offer(now, later), Decision::Wait(_)));
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -281,7 +281,7 @@
         let passed = self.now - request.arrived;
         let hold = DEADLINE.mul_f64(HOLD_SHARE).min(OBJECTIVE);
         let is_early = passed < OBJECTIVE.mul_f64(EARLY_SHARE);
-        let patience = if is_early {
+        let max_queue_wait = if is_early {
             OBJECTIVE.mul_f64(EXPECTED_SHARE).saturating_sub(passed + request.service)
         } else {
             DEADLINE.saturating_sub(passed + request.service).min(hold.saturating_sub(passed))
@@ -292,7 +292,7 @@
             objective_at: arrived + OBJECTIVE,
             deadline: arrived + DEADLINE,
             hold_until: arrived + hold,
-            patience,
+            max_queue_wait,
             service: request.service,
             is_caller_retry: false,
             tenant: None,
