--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -314,7 +314,7 @@
 impl Waiting {
     async fn result(&mut self, item: WorkItem) -> Result<Permit, Refusal> {
         let Some(verdict) = &mut self.verdict else { return Err(Refusal::Closed) };
-        let told = timeout_at(item.hold_until.min(item.deadline).into(), verdict).await;
+        let told = timeout_at(item.queue_deadline.min(item.deadline).into(), verdict).await;
         match told {
             Ok(Ok(Ok(()))) => {
                 self.verdict = None;
@@ -325,7 +325,7 @@
                 Err(refusal)
             }
             Ok(Err(_sender_dropped)) => Err(Refusal::Closed),
-            Err(_elapsed) if item.hold_until < item.deadline => Err(Refusal::QueueTimeout),
+            Err(_elapsed) if item.queue_deadline < item.deadline => Err(Refusal::QueueTimeout),
             Err(_elapsed) => Err(Refusal::Expired),
         }
     }
--- a/crates/forwarding/src/inbound/admission/tests.rs
+++ b/crates/forwarding/src/inbound/admission/tests.rs
@@ -22,7 +22,7 @@
         priority: 1,
         objective_at: now() + TIME,
         deadline: now() + TIME,
-        hold_until: now() + TIME,
+        queue_deadline: now() + TIME,
         max_queue_wait: TIME,
         service: Duration::from_millis(50),
         is_caller_retry: false,
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -81,7 +81,7 @@
         self.check_calls(attempt)?;
         self.check_room_for_calls(attempt)?;
         let arrived = PastMoment::new(Instant::now(), &self.suspended);
-        let waits_until = attempt.hold_until.min(attempt.deadline);
+        let waits_until = attempt.queue_deadline.min(attempt.deadline);
         let slots = target.back_end.slots;
         let place = self.suspect_lane.enter(&target.watch, &attempt.request_key, slots, waits_until).await?;
         self.admit_once(attempt)?;
@@ -425,7 +425,7 @@
         priority: attempt.priority,
         objective_at: attempt.objective_at.into_std(),
         deadline: attempt.deadline.into_std(),
-        hold_until: attempt.hold_until.into_std(),
+        queue_deadline: attempt.queue_deadline.into_std(),
         max_queue_wait: attempt.max_queue_wait,
         service: attempt.service_time,
         is_caller_retry: attempt.is_caller_retry,
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -103,7 +103,7 @@
     /// End of the time within which an answer is of any use.
     pub deadline: Instant,
     /// When the request is given up if it still waits for a slot.
-    pub hold_until: Instant,
+    pub queue_deadline: Instant,
     /// Longest time that the request may be expected to wait for a slot.
     pub max_queue_wait: Duration,
     /// Time that the back end is expected to take.
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -165,7 +165,7 @@
             objective_at: request.objective_at(),
             deadline: request.deadline(),
             max_queue_wait: request.max_queue_wait(choice.service),
-            hold_until: request.hold_until(),
+            queue_deadline: request.queue_deadline(),
             service_time: choice.service,
             is_caller_retry: request.is_caller_retry,
             is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RepeatedRun,
--- a/crates/forwarding/src/outbound/attempts/repeating.rs
+++ b/crates/forwarding/src/outbound/attempts/repeating.rs
@@ -69,7 +69,7 @@
 
     /// Whether there is time for another attempt after `pause`.
     fn has_time_after(&self, pause: Duration) -> bool {
-        let end = self.request.deadline().min(self.request.hold_until());
+        let end = self.request.deadline().min(self.request.queue_deadline());
         end.saturating_duration_since(Instant::now()) >= SHORTEST_ATTEMPT + pause
     }
 }
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -138,7 +138,7 @@
     /// Takes the request's part of its tenant's quota.
     async fn take_quota(&self, request: &mut PreparedRequest) -> Result<(), Reply> {
         let Some(tenant) = &request.tenant else { return Ok(()) };
-        match self.quotas.admit(tenant, request.hold_until()).await {
+        match self.quotas.admit(tenant, request.queue_deadline()).await {
             Ok(permit) => {
                 request.permit = Some(permit);
                 Ok(())
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -70,8 +70,8 @@
     }
 
     /// When it is given up if no back end has been handed it.
-    pub(super) fn hold_until(&self) -> Instant {
-        self.wait_bounds().hold_until().into()
+    pub(super) fn queue_deadline(&self) -> Instant {
+        self.wait_bounds().queue_deadline().into()
     }
 
     /// Longest wait for a slot.
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -45,7 +45,7 @@
         is_far: false,
         objective_at: now,
         deadline: now + Duration::from_secs(2),
-        hold_until: now,
+        queue_deadline: now,
         max_queue_wait: Duration::ZERO,
         service_time: Duration::ZERO,
         is_caller_retry: false,
--- a/crates/scheduling/src/wait_bounds.rs
+++ b/crates/scheduling/src/wait_bounds.rs
@@ -40,7 +40,7 @@
     /// When it is given up if no back end has been handed it: its caller still has time to come back then, and a run that waits for it
     /// does not hold its slot for longer than that serves.
     #[must_use]
-    pub fn hold_until(&self) -> Instant {
+    pub fn queue_deadline(&self) -> Instant {
         let share = self.caller_time.mul_f64(HOLD_SHARE);
         self.arrived + share.min(self.objective.mul_f64(HOLD_OBJECTIVE_SHARE))
     }
@@ -55,6 +55,6 @@
             let expected_by = self.arrived + self.objective.mul_f64(EXPECTED_SHARE);
             return expected_by.saturating_duration_since(now).saturating_sub(service);
         }
-        until_deadline.min(self.hold_until().saturating_duration_since(now))
+        until_deadline.min(self.queue_deadline().saturating_duration_since(now))
     }
 }
--- a/crates/scheduling/src/work_item.rs
+++ b/crates/scheduling/src/work_item.rs
@@ -23,7 +23,7 @@
     /// End of the time within which an answer is of any use.
     pub deadline: Instant,
     /// When it is given up if it still waits.
-    pub hold_until: Instant,
+    pub queue_deadline: Instant,
     /// Longest wait with which it is taken in, as far as can be expected.
     pub max_queue_wait: Duration,
     /// Time that the back end is expected to take for it at its usual speed.
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -14,7 +14,7 @@
         priority: 1,
         objective_at: now + millis(objective),
         deadline: now + millis(2_000),
-        hold_until: now + millis(2_000),
+        queue_deadline: now + millis(2_000),
         max_queue_wait: millis(2_000),
         service: millis(50),
         is_caller_retry: false,
--- a/crates/scheduling/tests/cold_pace.rs
+++ b/crates/scheduling/tests/cold_pace.rs
@@ -114,7 +114,7 @@
         priority: 1,
         objective_at: now + millis(5_000),
         deadline: now + millis(5_000),
-        hold_until: now + millis(5_000),
+        queue_deadline: now + millis(5_000),
         max_queue_wait: millis(1_500),
         service: millis(100),
         is_caller_retry: false,
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -14,7 +14,7 @@
         priority,
         objective_at: now + millis(objective),
         deadline: now + millis(10_000),
-        hold_until: now + millis(10_000),
+        queue_deadline: now + millis(10_000),
         max_queue_wait: millis(10_000),
         service: millis(50),
         is_caller_retry: false,
--- a/crates/scheduling/tests/ranks.rs
+++ b/crates/scheduling/tests/ranks.rs
@@ -14,7 +14,7 @@
         priority: 1,
         objective_at: now + millis(400),
         deadline: now + millis(1_000),
-        hold_until: now + millis(400),
+        queue_deadline: now + millis(400),
         max_queue_wait: millis(80),
         service: millis(140),
         is_caller_retry: false,
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -223,7 +223,7 @@
             Decision::Start => self.start(request),
             Decision::Wait(ticket) => {
                 self.waiting.insert((service, queue, ticket), request);
-                let end = item.hold_until.min(item.deadline).duration_since(self.began);
+                let end = item.queue_deadline.min(item.deadline).duration_since(self.began);
                 self.at(end.as_millis() as u64, Event::GiveUp(request, ticket));
             }
             Decision::Refuse(_) => return false,
@@ -249,7 +249,7 @@
             priority: run_rank.min(kind.rank),
             objective_at: bounds.arrived + bounds.objective,
             deadline: bounds.deadline,
-            hold_until: bounds.hold_until(),
+            queue_deadline: bounds.queue_deadline(),
             max_queue_wait: bounds.max_queue_wait(self.instant(self.now), service),
             service,
             is_caller_retry: *is_caller_retry,
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -17,7 +17,7 @@
         priority: 1,
         objective_at: now + millis(objective),
         deadline: now + millis(2_000),
-        hold_until: now + millis(2_000),
+        queue_deadline: now + millis(2_000),
         max_queue_wait: millis(objective / 2).saturating_sub(millis(service)),
         service: millis(service),
         is_caller_retry: false,
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -246,7 +246,7 @@
             priority: 1,
             objective_at: now + Duration::from_secs_f64(self.replay.objective),
             deadline: now + Duration::from_secs_f64(self.replay.deadline),
-            hold_until: now + Duration::from_secs_f64(self.hold_seconds()),
+            queue_deadline: now + Duration::from_secs_f64(self.hold_seconds()),
             max_queue_wait: Duration::from_secs_f64(max_queue_wait),
             service: Duration::from_secs_f64(load.service),
             is_caller_retry: false,
@@ -279,8 +279,8 @@
             Offered::Starts => self.start(now, index, request),
             Offered::Waits => {
                 let life = back_end.life;
-                let hold_until = offered.arrived + self.hold_seconds();
-                self.plan(hold_until, Event::GiveUp { back_end: index, life, request });
+                let queue_deadline = offered.arrived + self.hold_seconds();
+                self.plan(queue_deadline, Event::GiveUp { back_end: index, life, request });
             }
             Offered::Refused => {}
         }
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -21,7 +21,7 @@
         priority: 1,
         objective_at: now + millis(20_000),
         deadline: now + millis(60_000),
-        hold_until: now + millis(60_000),
+        queue_deadline: now + millis(60_000),
         max_queue_wait: millis(60_000),
         service: SERVICE,
         is_caller_retry: false,
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -264,7 +264,7 @@
             Decision::Start => self.start(number),
             Decision::Wait(ticket) => {
                 self.back_ends[at].waiting.insert(ticket, number);
-                let hold = (item.hold_until - self.epoch).saturating_sub(self.now);
+                let hold = (item.queue_deadline - self.epoch).saturating_sub(self.now);
                 self.plan(hold, Step::Hold(number, ticket));
             }
             Decision::Refuse(refusal) => {
@@ -291,7 +291,7 @@
             priority: 2,
             objective_at: arrived + OBJECTIVE,
             deadline: arrived + DEADLINE,
-            hold_until: arrived + hold,
+            queue_deadline: arrived + hold,
             max_queue_wait,
             service: request.service,
             is_caller_retry: false,
