--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -75,11 +75,11 @@
     fn come_back(&self, not_run: NotRun) -> Duration {
         let request = &self.request;
         let passed = request.arrived.elapsed();
-        let caller_left = request.caller_time.saturating_sub(passed);
+        let caller_left = request.caller_timeout.saturating_sub(passed);
         let spent_before = {
             let mut caller_times = self.outbound.caller_times.lock();
             caller_times.on_refused(&request.route.name, caller_left);
-            caller_times.spent_before(&request.route.name, request.caller_time)
+            caller_times.spent_before(&request.route.name, request.caller_timeout)
         };
         let refused = RefusedRequest {
             reason: not_run.reason,
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -93,7 +93,7 @@
         };
         let told = self.told_time(&head);
         let time = told.map_or(route.timeout, |told| told.saturating_sub(ANSWER_RESERVE).min(route.timeout));
-        let caller_time = told.unwrap_or(route.timeout);
+        let caller_timeout = told.unwrap_or(route.timeout);
         let service = self.splits.lock().next(&mut *self.random.lock(), &route).clone();
         let id = id.unwrap_or_else(|| self.new_id());
         let source = self.inbound.runs().on_request(&id, &service);
@@ -103,7 +103,7 @@
         let time = inherited_time(time, arrived, run);
         // A call brings what is left of its run, so that its time tells nothing of earlier tries.
         let tells_tries = told.is_some() && run.is_none();
-        let is_caller_retry = tells_tries && self.caller_times.lock().record(&route.name, caller_time);
+        let is_caller_retry = tells_tries && self.caller_times.lock().record(&route.name, caller_timeout);
         let version = table.version();
         let key = self.dialect.caller_key.and_then(|name| head.fields.get(name)).cloned();
         let fingerprint = RequestFingerprint::of(&RequestContent {
@@ -128,7 +128,7 @@
             version,
             arrived: PastMoment::new(arrived, self.inbound.suspended()),
             time,
-            caller_time,
+            caller_timeout,
             is_caller_retry,
             origin: source.origin,
             run: source.run,
@@ -159,7 +159,7 @@
                 period_millis: millis(refusals.period),
             });
         }
-        let left = request.caller_time.saturating_sub(request.arrived.elapsed());
+        let left = request.caller_timeout.saturating_sub(request.arrived.elapsed());
         self.caller_times.lock().on_refused(&request.route.name, left);
         let come_back = come_back_with_token(left, refusal.next_token_in, &mut *self.random.lock());
         self.own_reply(ReplyReason::OverQuota, Some(come_back), Some(&request.id))
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -43,7 +43,7 @@
     /// Longest time from the arrival to the answer.
     pub(super) time: Duration,
     /// Time that the caller waits, by its own word, or else that of the route.
-    pub(super) caller_time: Duration,
+    pub(super) caller_timeout: Duration,
     /// Whether the caller has sent it before and was refused.
     pub(super) is_caller_retry: bool,
     /// Whether a run at the back end beside this node has made it, and which.
@@ -84,7 +84,7 @@
             arrived: self.arrived.at().into_std(),
             objective: self.route.objective,
             deadline: self.deadline().into_std(),
-            caller_time: self.caller_time,
+            caller_timeout: self.caller_timeout,
             dependent: self.dependent(),
         }
     }
--- a/crates/scheduling/src/wait_bounds.rs
+++ b/crates/scheduling/src/wait_bounds.rs
@@ -31,7 +31,7 @@
     /// End of the time within which an answer is of any use.
     pub deadline: Instant,
     /// Time for which its caller waits.
-    pub caller_time: Duration,
+    pub caller_timeout: Duration,
     /// Who waits for it.
     pub dependent: Dependent,
 }
@@ -41,7 +41,7 @@
     /// does not hold its slot for longer than that serves.
     #[must_use]
     pub fn queue_deadline(&self) -> Instant {
-        let share = self.caller_time.mul_f64(HOLD_SHARE);
+        let share = self.caller_timeout.mul_f64(HOLD_SHARE);
         self.arrived + share.min(self.objective.mul_f64(HOLD_OBJECTIVE_SHARE))
     }
 
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -240,7 +240,7 @@
             arrived: self.instant(*sent),
             objective: Duration::from_millis(kind.objective),
             deadline: self.instant(run_deadline.min(sent + kind.deadline)),
-            caller_time: Duration::from_millis(kind.deadline),
+            caller_timeout: Duration::from_millis(kind.deadline),
             dependent: if run.is_some() { Dependent::Requests } else { Dependent::Caller },
         };
         let slot_time = self.slot_times.get(kind.name).copied().unwrap_or(kind.work as f64);
