--- a/crates/scheduling/src/load.rs
+++ b/crates/scheduling/src/load.rs
@@ -22,7 +22,7 @@
     /// How long work takes there at this moment, in hundredths of the time on average; 0 if the back end doesn't tell.
     pub slowdown_percent: u16,
     /// Most urgent rank of which requests were refused a moment ago for want of room; absent if none were.
-    pub refused_rank: Option<u8>,
+    pub refused_priority: Option<u8>,
 }
 
 impl LoadReport {
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -335,14 +335,14 @@
             service_micros: self.service_time.mean_micros(),
             failed_permille: permille(self.failed_share),
             slowdown_percent: self.slowdown.percent(now).unwrap_or(0),
-            refused_rank: self.refused_rank(now),
+            refused_priority: self.refused_priority(now),
         }
     }
 
     /// Whether requests wait for a slot, or were refused one a moment ago.
     #[must_use]
     pub fn is_slot_wanted(&self, now: Instant) -> bool {
-        !self.waiting.is_empty() || self.refused_rank(now).is_some()
+        !self.waiting.is_empty() || self.refused_priority(now).is_some()
     }
 
     /// Whether requests of this rank or a more urgent one that could still meet their objective were refused a moment ago.
@@ -354,7 +354,7 @@
     }
 
     /// The most urgent rank of which requests that could still have met their objective were refused a moment ago.
-    fn refused_rank(&self, now: Instant) -> Option<u8> {
+    fn refused_priority(&self, now: Instant) -> Option<u8> {
         let moment = self.mean_service_time().mul_f64(TOLD_REFUSAL_TURNS);
         let mut refused = self.refused_at.iter();
         let (rank, _) = refused.find(|(_, at)| now.saturating_duration_since(**at) < moment)?;
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -101,23 +101,23 @@
 fn the_report_tells_the_most_urgent_rank_refused_until_all_slots_may_have_turned_over() {
     let now = Instant::now();
     let mut queue = queue_busy_with(now, WorkItem { priority: 0, ..new_work(now, 500) });
-    assert_eq!(queue.report(now).refused_rank, None);
+    assert_eq!(queue.report(now).refused_priority, None);
     let refuse = |queue: &mut WorkQueue, priority, at| {
         let impatient = WorkItem { priority, max_queue_wait: Duration::ZERO, ..new_work(at, 500) };
         assert!(matches!(queue.offer(at, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
     };
     refuse(&mut queue, 2, now);
-    assert_eq!(queue.report(now).refused_rank, Some(2));
+    assert_eq!(queue.report(now).refused_priority, Some(2));
     refuse(&mut queue, 0, now + millis(30));
-    assert_eq!(queue.report(now + millis(30)).refused_rank, Some(0));
+    assert_eq!(queue.report(now + millis(30)).refused_priority, Some(0));
     refuse(&mut queue, 2, now + millis(70));
-    assert_eq!(queue.report(now + millis(70)).refused_rank, Some(0));
+    assert_eq!(queue.report(now + millis(70)).refused_priority, Some(0));
     assert_eq!(
-        queue.report(now + millis(81)).refused_rank,
+        queue.report(now + millis(81)).refused_priority,
         Some(2),
         "nothing is known of a longer service time"
     );
-    assert_eq!(queue.report(now + millis(121)).refused_rank, None);
+    assert_eq!(queue.report(now + millis(121)).refused_priority, None);
 }
 
 /// Two calls of one run meet queues that are as long: both are taken in, or both refused.
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -202,7 +202,7 @@
         let Some(call) = &kind.call else { return true };
         let now = self.instant(self.now);
         let load = self.services[kind.service][queue].report(now);
-        if load.waiting == 0 && load.refused_rank.is_none() {
+        if load.waiting == 0 && load.refused_priority.is_none() {
             return true;
         }
         let calls = [(name_of(call.kind), f64::from(call.count))];
