--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -235,8 +235,8 @@
     }
 
     /// Time that work which ends now and has taken `taken` would have taken at the back end's usual speed.
-    fn usual_time(&self, taken: Duration) -> Duration {
-        self.state.lock().queue.slowdown().usual_time(now(), taken)
+    fn normalized_time(&self, taken: Duration) -> Duration {
+        self.state.lock().queue.slowdown().normalized_time(now(), taken)
     }
 
     /// Whether requests wait for a slot, or were refused one a moment ago.
@@ -363,7 +363,7 @@
 
     /// Takes in that the back end has answered, so that its time counts. What the answer tells of the back end's speed is taken in before.
     pub(crate) fn on_answered(&mut self) {
-        self.served = Some(self.admission.usual_time(self.started.elapsed()));
+        self.served = Some(self.admission.normalized_time(self.started.elapsed()));
     }
 }
 
--- a/crates/scheduling/src/slowdown.rs
+++ b/crates/scheduling/src/slowdown.rs
@@ -78,7 +78,7 @@
 
     /// Time that work which ends `now` and has taken `taken` would have taken at the speed on average.
     #[must_use]
-    pub fn usual_time(&self, now: Instant, taken: Duration) -> Duration {
+    pub fn normalized_time(&self, now: Instant, taken: Duration) -> Duration {
         taken.div_f64(self.factor(now))
     }
 }
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -91,7 +91,7 @@
 fn the_time_of_a_slow_answer_is_learnt_as_that_of_the_usual_speed() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 250);
-    let usual = queue.slowdown().usual_time(now, millis(250));
+    let usual = queue.slowdown().normalized_time(now, millis(250));
     queue.finish(Some(usual));
     let report = queue.report(now);
     assert_eq!(report.service_time(), Some(millis(100)));
@@ -172,7 +172,7 @@
             now += millis(u64::from(after));
             let _ = slowdown.on_word(now, percent);
             let factor = slowdown.factor(now);
-            (0.1..=100.0).contains(&factor) && slowdown.usual_time(now, LONG) <= LONG * 10
+            (0.1..=100.0).contains(&factor) && slowdown.normalized_time(now, LONG) <= LONG * 10
         })
     }
 }
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -334,7 +334,7 @@
         if self.load.tells {
             queue.slowdown().on_word(now, percent).expect("a sensible figure");
         }
-        let usual = queue.slowdown().usual_time(now, taken);
+        let usual = queue.slowdown().normalized_time(now, taken);
         queue.finish(Some(usual));
         let mut report = queue.report(now);
         if !self.load.reaches_callers {
