--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -135,7 +135,7 @@
     /// Before a back end of which nothing is known. `keeps_slots`: whether new requests leave slots to calls.
     pub(crate) fn new(keeps_slots: bool) -> Arc<Self> {
         let admission = Self::default();
-        admission.state.lock().queue.keep_slots_for_calls(keeps_slots);
+        admission.state.lock().queue.reserve_slots_for_calls(keeps_slots);
         Arc::new(admission)
     }
 
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -92,7 +92,7 @@
     }
 
     /// Sets whether new requests leave slots to calls, in the measure in which calls have come; they don't unless this is set.
-    pub const fn keep_slots_for_calls(&mut self, is_on: bool) {
+    pub const fn reserve_slots_for_calls(&mut self, is_on: bool) {
         self.kept.switch(is_on);
     }
 
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -34,7 +34,7 @@
 
 fn queue_busy_with(now: Instant, item: WorkItem) -> WorkQueue {
     let mut queue = WorkQueue::new();
-    queue.keep_slots_for_calls(true);
+    queue.reserve_slots_for_calls(true);
     queue.set_slots(1);
     queue.open();
     assert_eq!(queue.offer(now, item), Decision::Start);
@@ -139,7 +139,7 @@
 /// A queue before four slots, to which calls of `rank` have come that take half of them.
 fn queue_with_calls(now: Instant, rank: u8) -> WorkQueue {
     let mut queue = WorkQueue::new();
-    queue.keep_slots_for_calls(true);
+    queue.reserve_slots_for_calls(true);
     queue.set_slots(4);
     queue.open();
     for number in 0..100 {
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -399,7 +399,7 @@
 
 fn open_queue() -> WorkQueue {
     let mut queue = WorkQueue::new();
-    queue.keep_slots_for_calls(true);
+    queue.reserve_slots_for_calls(true);
     queue.set_slots(QUEUE_SLOTS);
     queue.open();
     queue
