--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -184,7 +184,7 @@
     /// Refuses what waits.
     pub(crate) fn turn_away_waiting(&self) {
         let mut state = self.state.lock();
-        for ticket in state.queue.give_up_waiting() {
+        for ticket in state.queue.cancel_waiting() {
             state.tell(ticket, Err(Refusal::Closed));
         }
     }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -104,11 +104,11 @@
     /// Takes no new work from now on, and gives up what waits; returns the tickets.
     pub fn close(&mut self) -> Vec<Ticket> {
         self.is_open = false;
-        self.give_up_waiting()
+        self.cancel_waiting()
     }
 
     /// Gives up what waits; returns the tickets.
-    pub fn give_up_waiting(&mut self) -> Vec<Ticket> {
+    pub fn cancel_waiting(&mut self) -> Vec<Ticket> {
         self.waiting.clear();
         self.shares.clear();
         std::mem::take(&mut self.places).into_keys().collect()
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -340,7 +340,7 @@
             return false;
         }
     }
-    let _ = queue.give_up_waiting();
+    let _ = queue.cancel_waiting();
     queue.tenant_count() == 0
 }
 
