--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -250,8 +250,8 @@
     }
 
     /// Takes in whether an answer came back sound.
-    pub(crate) fn record_answer(&self, is_sound: bool) {
-        self.state.lock().queue.record_answer(is_sound);
+    pub(crate) fn record_response(&self, is_sound: bool) {
+        self.state.lock().queue.record_response(is_sound);
     }
 
     /// How a tenant stands; absent if none of its requests has waited of late.
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -292,7 +292,7 @@
                 }
                 fields.remove_connection_fields();
                 permit.on_answered();
-                self.admission.record_answer(true);
+                self.admission.record_response(true);
                 let served_in = permit.elapsed();
                 self.answers.lock().record(attempt.route, status < FIRST_FAILURE, served_in);
                 let body = holding(body, permit);
@@ -324,7 +324,7 @@
                 result
             }
             ExchangeEnd::Unknown(reason) => {
-                self.admission.record_answer(false);
+                self.admission.record_response(false);
                 drop(watched);
                 let has_crashed = reason.is_broken_connection() && self.find_crash(target).await;
                 let reason = if has_crashed { UnknownReason::BackEndCrashed } else { reason };
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -262,7 +262,7 @@
     }
 
     /// Takes in whether the answer of a request that ran came back sound.
-    pub fn record_answer(&mut self, is_sound: bool) {
+    pub fn record_response(&mut self, is_sound: bool) {
         let sample = if is_sound { 0.0 } else { 1.0 };
         self.failed_share += (sample - self.failed_share) * FAILURE_WEIGHT;
     }
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -139,13 +139,13 @@
         let _ = queue.offer(now, item(now, 1, 500));
     }
     queue.finish(Some(millis(40)));
-    queue.record_answer(true);
+    queue.record_response(true);
     let first = queue.report(Instant::now());
     assert_eq!((first.running, first.waiting, first.slots), (1, 3, 2));
     assert_eq!(first.service_time(), Some(millis(40)));
     assert!(queue.report(Instant::now()).number > first.number);
     for _ in 0..30 {
-        queue.record_answer(false);
+        queue.record_response(false);
     }
     assert!(queue.report(Instant::now()).failed_permille > 500);
 }
