--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -192,7 +192,7 @@
     /// Forgets what was learnt of the back end: another one stands in its place, and it may be cold.
     pub(crate) fn forget_back_end(&self) {
         let mut state = self.state.lock();
-        state.queue.forget_service_time();
+        state.queue.reset_statistics();
         state.queue.cold_start_limiter().forget();
     }
 
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -133,7 +133,7 @@
     }
 
     /// Forgets what is known of the back end's speed: another one stands in its place.
-    pub fn forget_service_time(&mut self) {
+    pub fn reset_statistics(&mut self) {
         self.service_time = ServiceTime::default();
         self.slowdown = Slowdown::default();
         self.failed_share = 0.0;
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -159,7 +159,7 @@
 fn another_back_end_in_its_place_starts_without_its_word() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 600);
-    queue.forget_service_time();
+    queue.reset_statistics();
     assert_eq!(queue.report(now).slowdown_percent, 0);
 }
 
