--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -145,7 +145,7 @@
 fn level_of(id: &[u8]) -> CallLevel {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(id).as_bytes()[..8]);
-    CallLevel::of_hash(u64::from_le_bytes(first))
+    CallLevel::from_hash(u64::from_le_bytes(first))
 }
 
 /// What is known about an attempt at its end.
--- a/crates/scheduling/src/call_level.rs
+++ b/crates/scheduling/src/call_level.rs
@@ -22,7 +22,7 @@
     /// The level of the request with this hash of its identity.
     #[must_use]
     #[expect(clippy::cast_possible_truncation, reason = "less than the number of levels")]
-    pub const fn of_hash(hash: u64) -> Self {
+    pub const fn from_hash(hash: u64) -> Self {
         Self((hash % Self::COUNT as u64) as u8)
     }
 
--- a/crates/scheduling/tests/call_outlook.rs
+++ b/crates/scheduling/tests/call_outlook.rs
@@ -74,7 +74,7 @@
     let mut node = Node::new(2.0);
     node.treat(300, 10, CallOutcome::NoRoom);
     assert!((0..100).all(|_| node.begins(0)), "calls of rank 0 were not refused");
-    let last_level = CallLevel::of_hash(31);
+    let last_level = CallLevel::from_hash(31);
     let other = PendingRun { route: ROUTE, rank: RANK, level: last_level, calls: &node.calls };
     assert!(
         (0..100).all(|_| node.outlook.begin_run(node.now, &other).is_ok()),
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -127,7 +127,7 @@
     let mut queue = busy_queue(now);
     queue.offer(now, new_work(now, 500));
     let of_level = |level| {
-        let work = CallLevel::of_hash(level);
+        let work = CallLevel::from_hash(level);
         WorkItem { call: Some(work), max_queue_wait: millis(80), ..new_work(now, 300) }
     };
     let wait = queue.expected_wait(now, of_level(0));
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -152,7 +152,7 @@
     }
 
     fn request(&mut self, kind: &'static Kind, sent: u64, run: Option<usize>) -> usize {
-        let level = CallLevel::of_hash((self.uniform() * 1e6) as u64);
+        let level = CallLevel::from_hash((self.uniform() * 1e6) as u64);
         self.requests.push(Request {
             kind,
             first_sent: sent,
