--- a/crates/forwarding/src/quotas.rs
+++ b/crates/forwarding/src/quotas.rs
@@ -8,7 +8,9 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, timeout_at};
 use umberpond_model::{TenantName, TenantNumber};
-use umberpond_quotas::{LONGEST_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenAnswer, TokenPool};
+use umberpond_quotas::{
+    LONGEST_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision, TokenPool,
+};
 
 use crate::clock::now;
 
@@ -52,9 +54,9 @@
 /// What comes of asking for a token.
 enum TokenTurn {
     /// One is granted, or refused.
-    Told(TokenAnswer),
+    Told(TokenDecision),
     /// Others are asked; what comes of it is told here.
-    Waits(oneshot::Receiver<TokenAnswer>),
+    Waits(oneshot::Receiver<TokenDecision>),
 }
 
 #[derive(Debug)]
@@ -62,7 +64,7 @@
     sharing: Box<dyn QuotaSharing>,
     pool: TokenPool,
     has_quotas: bool,
-    waiting: HashMap<TenantNumber, VecDeque<oneshot::Sender<TokenAnswer>>>,
+    waiting: HashMap<TenantNumber, VecDeque<oneshot::Sender<TokenDecision>>>,
     refusals: HashMap<TenantNumber, RefusalCount>,
     /// Tokens that nobody used and that were told of.
     told_expired: u64,
@@ -96,10 +98,10 @@
                 self.token_wanted.notify_one();
                 let until = until.min(Instant::now() + LONGEST_WAIT);
                 let told = timeout_at(until, waiter).await;
-                told.ok().and_then(Result::ok).unwrap_or(TokenAnswer::Refused)
+                told.ok().and_then(Result::ok).unwrap_or(TokenDecision::Refused)
             }
         };
-        let TokenAnswer::Granted { good_until } = answer else { return Err(self.over_quota(number)) };
+        let TokenDecision::Granted { good_until } = answer else { return Err(self.over_quota(number)) };
         Ok(QuotaPermit { gate: Arc::clone(self), tenant: number, good_until })
     }
 
@@ -122,7 +124,7 @@
         let mut state = self.state.lock();
         state.sharing.on_request(now(), tenant);
         let answer = state.sharing.take(now(), tenant);
-        if answer != TokenAnswer::Ask {
+        if answer != TokenDecision::Ask {
             return TokenTurn::Told(answer);
         }
         let (sender, receiver) = oneshot::channel();
@@ -191,11 +193,11 @@
                     continue;
                 }
                 let answer = sharing.take(now(), *tenant);
-                if answer == TokenAnswer::Ask {
+                if answer == TokenDecision::Ask {
                     queue.push_front(waiter);
                     break;
                 }
-                let Err(TokenAnswer::Granted { good_until }) = waiter.send(answer) else { continue };
+                let Err(TokenDecision::Granted { good_until }) = waiter.send(answer) else { continue };
                 sharing.give_back(now(), *tenant, good_until);
             }
         }
--- a/crates/forwarding/src/quotas/tests.rs
+++ b/crates/forwarding/src/quotas/tests.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::time::{Instant, advance};
 use umberpond_model::{TenantName, TenantNumber};
-use umberpond_quotas::{QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenAnswer};
+use umberpond_quotas::{QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision};
 
 use super::{ACCOUNT_PERIOD, QuotaGate};
 
@@ -16,7 +16,7 @@
 /// Gives the same answer to all, and keeps the ends of tokens that come back.
 #[derive(Debug)]
 struct FixedAnswer {
-    answer: TokenAnswer,
+    answer: TokenDecision,
     given_back: Arc<Mutex<Vec<std::time::Instant>>>,
 }
 
@@ -27,7 +27,7 @@
 
     fn on_request(&mut self, _now: std::time::Instant, _tenant: TenantNumber) {}
 
-    fn take(&mut self, _now: std::time::Instant, _tenant: TenantNumber) -> TokenAnswer {
+    fn take(&mut self, _now: std::time::Instant, _tenant: TenantNumber) -> TokenDecision {
         self.answer
     }
 
@@ -54,7 +54,7 @@
     fn on_grant(&mut self, _now: std::time::Instant, _grant: &QuotaGrant, _pools: usize) {}
 }
 
-fn gate(answer: TokenAnswer) -> (Arc<QuotaGate>, Arc<Mutex<Vec<std::time::Instant>>>) {
+fn gate(answer: TokenDecision) -> (Arc<QuotaGate>, Arc<Mutex<Vec<std::time::Instant>>>) {
     let given_back = Arc::new(Mutex::new(Vec::new()));
     let sharing = FixedAnswer { answer, given_back: Arc::clone(&given_back) };
     (QuotaGate::new(Box::new(sharing)), given_back)
@@ -66,7 +66,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn refusals_are_told_once_in_a_period_and_all_are_counted() {
-    let (gate, _) = gate(TokenAnswer::Refused);
+    let (gate, _) = gate(TokenDecision::Refused);
     let mut told = Vec::new();
     for _ in 0..1_201 {
         let until = Instant::now() + Duration::from_secs(1);
@@ -82,7 +82,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_of_a_tenant_at_its_limit_does_not_wait() {
-    let (gate, _) = gate(TokenAnswer::Refused);
+    let (gate, _) = gate(TokenDecision::Refused);
     let start = Instant::now();
     gate.admit(&hot(), start + Duration::from_secs(1)).await.expect_err("refused");
     assert_eq!(Instant::now(), start);
@@ -91,7 +91,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_token_that_is_given_back_keeps_its_end() {
     let good_until = Instant::now().into_std() + Duration::from_millis(250);
-    let (gate, given_back) = gate(TokenAnswer::Granted { good_until });
+    let (gate, given_back) = gate(TokenDecision::Granted { good_until });
     let until = Instant::now() + Duration::from_secs(1);
     let permit = gate.admit(&hot(), until).await.expect("granted");
     advance(Duration::from_millis(200)).await;
@@ -101,7 +101,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn expired_tokens_are_told_once() {
-    let (gate, _) = gate(TokenAnswer::Refused);
+    let (gate, _) = gate(TokenDecision::Refused);
     assert_eq!(gate.take_expired_tokens(), 7);
     assert_eq!(gate.take_expired_tokens(), 0);
 }
--- a/crates/quotas/src/own.rs
+++ b/crates/quotas/src/own.rs
@@ -7,7 +7,7 @@
 
 use crate::held::TOKEN_LIFETIME;
 use crate::message::{QuotaGrant, QuotaReport};
-use crate::sharing::{QuotaSharing, Quotas, TokenAnswer};
+use crate::sharing::{QuotaSharing, Quotas, TokenDecision};
 
 /// Tokens of one tenant at this node.
 #[derive(Debug, Clone, Copy)]
@@ -37,9 +37,9 @@
 
     fn on_request(&mut self, _now: Instant, _tenant: TenantNumber) {}
 
-    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenAnswer {
-        let Some(quota) = self.quotas.get(&tenant) else { return TokenAnswer::Granted { good_until: now } };
-        let Some(nodes) = self.sharing_nodes else { return TokenAnswer::Refused };
+    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision {
+        let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { good_until: now } };
+        let Some(nodes) = self.sharing_nodes else { return TokenDecision::Refused };
         let own = self.tenants.entry(tenant).or_insert(OwnTokens { tokens: 0.0, counted_at: now });
         let passed = now.saturating_duration_since(own.counted_at).as_secs_f64();
         own.counted_at = now;
@@ -47,10 +47,10 @@
         let most = (quota.burst as f64 / f64::from(nodes)).max(1.0);
         own.tokens = (own.tokens + passed * quota.rate.as_f64() / f64::from(nodes)).min(most);
         if own.tokens < 1.0 {
-            return TokenAnswer::Refused;
+            return TokenDecision::Refused;
         }
         own.tokens -= 1.0;
-        TokenAnswer::Granted { good_until: now + TOKEN_LIFETIME }
+        TokenDecision::Granted { good_until: now + TOKEN_LIFETIME }
     }
 
     fn give_back(&mut self, now: Instant, tenant: TenantNumber, good_until: Instant) {
--- a/crates/quotas/src/pooled.rs
+++ b/crates/quotas/src/pooled.rs
@@ -9,7 +9,7 @@
 use crate::held::{HeldTokens, TOKEN_LIFETIME};
 use crate::limit::{PoolAnswer, earned_meanwhile};
 use crate::message::{QuotaGrant, QuotaReport, TokenCount, WantedTokens};
-use crate::sharing::{QuotaSharing, Quotas, TokenAnswer};
+use crate::sharing::{QuotaSharing, Quotas, TokenDecision};
 
 /// Time after which earned time is handed on with the next look: well below the time that is kept.
 const REPORT_INTERVAL: Duration = Duration::from_millis(140);
@@ -121,19 +121,19 @@
         }
     }
 
-    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenAnswer {
+    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision {
         let good_until = now + TOKEN_LIFETIME;
-        let Some(quota) = self.quotas.get(&tenant) else { return TokenAnswer::Granted { good_until } };
+        let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { good_until } };
         self.earned.earn(now);
         let earned = self.earned.kept().as_secs_f64() * quota.rate.as_f64();
         let held = self.tenants.entry(tenant).or_default();
         if let Some(good_until) = held.take_given(now) {
-            return TokenAnswer::Granted { good_until };
+            return TokenDecision::Granted { good_until };
         }
         if held.take_earned(earned) {
-            return TokenAnswer::Granted { good_until };
+            return TokenDecision::Granted { good_until };
         }
-        if held.limit.exhausted_for(now).is_some() { TokenAnswer::Refused } else { TokenAnswer::Ask }
+        if held.limit.exhausted_for(now).is_some() { TokenDecision::Refused } else { TokenDecision::Ask }
     }
 
     fn give_back(&mut self, now: Instant, tenant: TenantNumber, good_until: Instant) {
--- a/crates/quotas/src/sharing.rs
+++ b/crates/quotas/src/sharing.rs
@@ -25,7 +25,7 @@
 
 /// What comes of asking for a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TokenAnswer {
+pub enum TokenDecision {
     /// The request may be sent.
     Granted {
         /// Until when the token may be given back.
@@ -49,7 +49,7 @@
     fn on_request(&mut self, now: Instant, tenant: TenantNumber);
 
     /// Takes a token for one request of `tenant`.
-    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenAnswer;
+    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision;
 
     /// Takes a token back whose request has not run. After `good_until` it is lost.
     fn give_back(&mut self, now: Instant, tenant: TenantNumber, good_until: Instant);
--- a/crates/quotas/tests/support/mod.rs
+++ b/crates/quotas/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use umberpond_config::{KeyHash, Quota, Tenant};
 use umberpond_model::{HomeRegions, RequestRate, TenantName, TenantNumber};
 use umberpond_quotas::{
-    LONGEST_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenAnswer,
+    LONGEST_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
     TokenPool, quotas_of,
 };
 
@@ -168,9 +168,9 @@
         }
         node.sharing.on_request(now, tenant);
         match node.sharing.take(now, tenant) {
-            TokenAnswer::Granted { .. } => self.granted.entry(tenant).or_default().push(now),
-            TokenAnswer::Refused => *self.refused.entry(tenant).or_default() += 1,
-            TokenAnswer::Ask => {
+            TokenDecision::Granted { .. } => self.granted.entry(tenant).or_default().push(now),
+            TokenDecision::Refused => *self.refused.entry(tenant).or_default() += 1,
+            TokenDecision::Ask => {
                 node.waiting.entry(tenant).or_default().push(now);
                 node.is_told = true;
             }
@@ -232,9 +232,11 @@
             let mut still = Vec::new();
             for since in waiting.drain(..) {
                 match node.sharing.take(now, *tenant) {
-                    TokenAnswer::Granted { .. } => self.granted.entry(*tenant).or_default().push(now),
-                    TokenAnswer::Ask if now - since < longest_wait => still.push(since),
-                    TokenAnswer::Ask | TokenAnswer::Refused => *self.refused.entry(*tenant).or_default() += 1,
+                    TokenDecision::Granted { .. } => self.granted.entry(*tenant).or_default().push(now),
+                    TokenDecision::Ask if now - since < longest_wait => still.push(since),
+                    TokenDecision::Ask | TokenDecision::Refused => {
+                        *self.refused.entry(*tenant).or_default() += 1
+                    }
                 }
             }
             *waiting = still;
--- a/crates/quotas/tests/tokens.rs
+++ b/crates/quotas/tests/tokens.rs
@@ -7,7 +7,7 @@
 
 use support::{number, tenant};
 use umberpond_quotas::{
-    PooledShares, QuotaGrant, QuotaReport, QuotaSharing, TokenAnswer, TokenCount, TokenPool, WantedTokens,
+    PooledShares, QuotaGrant, QuotaReport, QuotaSharing, TokenCount, TokenDecision, TokenPool, WantedTokens,
     quotas_of,
 };
 
@@ -38,7 +38,7 @@
 /// Takes all tokens that there are.
 fn take_all(shares: &mut PooledShares, now: Instant) -> Vec<Instant> {
     let mut taken = Vec::new();
-    while let TokenAnswer::Granted { good_until } = shares.take(now, number("hot")) {
+    while let TokenDecision::Granted { good_until } = shares.take(now, number("hot")) {
         taken.push(good_until);
     }
     taken
@@ -47,7 +47,7 @@
 /// A node asks once for a request that waits.
 fn ask(shares: &mut PooledShares, now: Instant) -> QuotaReport {
     shares.on_request(now, number("hot"));
-    assert_eq!(shares.take(now, number("hot")), TokenAnswer::Ask);
+    assert_eq!(shares.take(now, number("hot")), TokenDecision::Ask);
     shares.next_report(now, &waiting(1)).expect("a request waits")
 }
 
@@ -95,7 +95,7 @@
     let mut shares = shares(start);
     let report = ask(&mut shares, start);
     shares.on_grant(start + millis(5), &grant(&report, 4), POOLS);
-    assert!(matches!(shares.take(start + millis(6), number("hot")), TokenAnswer::Granted { .. }));
+    assert!(matches!(shares.take(start + millis(6), number("hot")), TokenDecision::Granted { .. }));
     let later = shares.next_report(start + millis(160), &HashMap::new()).expect("tokens are about to end");
     assert_eq!(later.returned, [TokenCount { tenant: number("hot"), tokens: 3 }]);
     assert_eq!(take_all(&mut shares, start + millis(161)), []);
@@ -138,7 +138,7 @@
     for _ in 0..30 {
         now += millis(34);
         shares.on_request(now, number("hot"));
-        if shares.take(now, number("hot")) != TokenAnswer::Ask {
+        if shares.take(now, number("hot")) != TokenDecision::Ask {
             continue;
         }
         for _ in 0..POOLS {
@@ -147,12 +147,12 @@
             }
         }
     }
-    assert_eq!(shares.take(now, number("hot")), TokenAnswer::Refused);
+    assert_eq!(shares.take(now, number("hot")), TokenDecision::Refused);
     assert!(shares.next_token_in(now, number("hot")) > Duration::ZERO);
     now += millis(50);
     let ahead = shares.next_report(now, &HashMap::new()).expect("more requests will come");
     assert!(ahead.wanted[0].waiting >= 2, "{ahead:?}");
-    assert_eq!(shares.take(now, number("hot")), TokenAnswer::Refused);
+    assert_eq!(shares.take(now, number("hot")), TokenDecision::Refused);
     shares.on_grant(now + millis(5), &grant(&ahead, 2), POOLS);
     assert_eq!(take_all(&mut shares, now + millis(6)).len(), 2);
 }
