--- a/crates/forwarding/src/quotas.rs
+++ b/crates/forwarding/src/quotas.rs
@@ -101,8 +101,8 @@
                 told.ok().and_then(Result::ok).unwrap_or(TokenDecision::Refused)
             }
         };
-        let TokenDecision::Granted { good_until } = answer else { return Err(self.over_quota(number)) };
-        Ok(QuotaPermit { gate: Arc::clone(self), tenant: number, good_until })
+        let TokenDecision::Granted { expires_at } = answer else { return Err(self.over_quota(number)) };
+        Ok(QuotaPermit { gate: Arc::clone(self), tenant: number, expires_at })
     }
 
     fn over_quota(&self, tenant: TenantNumber) -> OverQuota {
@@ -178,8 +178,8 @@
         state.tell_waiting();
     }
 
-    fn give_back(&self, tenant: TenantNumber, good_until: std::time::Instant) {
-        self.state.lock().sharing.give_back(now(), tenant, good_until);
+    fn give_back(&self, tenant: TenantNumber, expires_at: std::time::Instant) {
+        self.state.lock().sharing.give_back(now(), tenant, expires_at);
     }
 }
 
@@ -197,8 +197,8 @@
                     queue.push_front(waiter);
                     break;
                 }
-                let Err(TokenDecision::Granted { good_until }) = waiter.send(answer) else { continue };
-                sharing.give_back(now(), *tenant, good_until);
+                let Err(TokenDecision::Granted { expires_at }) = waiter.send(answer) else { continue };
+                sharing.give_back(now(), *tenant, expires_at);
             }
         }
     }
@@ -229,12 +229,12 @@
 pub(crate) struct QuotaPermit {
     gate: Arc<QuotaGate>,
     tenant: TenantNumber,
-    good_until: std::time::Instant,
+    expires_at: std::time::Instant,
 }
 
 impl QuotaPermit {
     /// Gives the token back: the request has not run.
     pub(crate) fn give_back(self) {
-        self.gate.give_back(self.tenant, self.good_until);
+        self.gate.give_back(self.tenant, self.expires_at);
     }
 }
--- a/crates/forwarding/src/quotas/tests.rs
+++ b/crates/forwarding/src/quotas/tests.rs
@@ -31,8 +31,8 @@
         self.answer
     }
 
-    fn give_back(&mut self, _now: std::time::Instant, _tenant: TenantNumber, good_until: std::time::Instant) {
-        self.given_back.lock().push(good_until);
+    fn give_back(&mut self, _now: std::time::Instant, _tenant: TenantNumber, expires_at: std::time::Instant) {
+        self.given_back.lock().push(expires_at);
     }
 
     fn next_token_in(&self, _now: std::time::Instant, _tenant: TenantNumber) -> Duration {
@@ -90,13 +90,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_token_that_is_given_back_keeps_its_end() {
-    let good_until = Instant::now().into_std() + Duration::from_millis(250);
-    let (gate, given_back) = gate(TokenDecision::Granted { good_until });
+    let expires_at = Instant::now().into_std() + Duration::from_millis(250);
+    let (gate, given_back) = gate(TokenDecision::Granted { expires_at });
     let until = Instant::now() + Duration::from_secs(1);
     let permit = gate.admit(&hot(), until).await.expect("granted");
     advance(Duration::from_millis(200)).await;
     permit.give_back();
-    assert_eq!(*given_back.lock(), [good_until]);
+    assert_eq!(*given_back.lock(), [expires_at]);
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/quotas/src/held.rs
+++ b/crates/quotas/src/held.rs
@@ -16,7 +16,7 @@
 /// Tokens that are good until the same moment.
 #[derive(Debug, Clone, Copy)]
 struct GivenTokens {
-    good_until: Instant,
+    expires_at: Instant,
     tokens: u32,
 }
 
@@ -35,18 +35,18 @@
 
 impl HeldTokens {
     /// Takes in tokens that were given, or that a request has given back.
-    pub(crate) fn add(&mut self, now: Instant, good_until: Instant, tokens: u32) {
-        if tokens > 0 && good_until > now {
-            self.given.push(GivenTokens { good_until, tokens });
+    pub(crate) fn add(&mut self, now: Instant, expires_at: Instant, tokens: u32) {
+        if tokens > 0 && expires_at > now {
+            self.given.push(GivenTokens { expires_at, tokens });
         }
     }
 
     /// Takes the token that ends first; gives the end of it.
     pub(crate) fn take_given(&mut self, now: Instant) -> Option<Instant> {
-        let is_good = |given: &&mut GivenTokens| given.good_until > now && given.tokens > 0;
-        let first = self.given.iter_mut().filter(is_good).min_by_key(|given| given.good_until)?;
+        let is_good = |given: &&mut GivenTokens| given.expires_at > now && given.tokens > 0;
+        let first = self.given.iter_mut().filter(is_good).min_by_key(|given| given.expires_at)?;
         first.tokens -= 1;
-        Some(first.good_until)
+        Some(first.expires_at)
     }
 
     /// Takes one of the `earned` tokens whose time is still kept here.
@@ -63,9 +63,9 @@
 
     /// Forgets the tokens that have ended; gives their number.
     pub(crate) fn drop_expired(&mut self, now: Instant) -> u32 {
-        let is_expired = |given: &&GivenTokens| given.good_until <= now;
+        let is_expired = |given: &&GivenTokens| given.expires_at <= now;
         let expired = self.given.iter().filter(is_expired).map(|given| given.tokens).sum();
-        self.given.retain(|given| given.good_until > now && given.tokens > 0);
+        self.given.retain(|given| given.expires_at > now && given.tokens > 0);
         expired
     }
 
@@ -105,6 +105,6 @@
 
 impl GivenTokens {
     fn is_unused(&self, now: Instant) -> bool {
-        self.good_until.saturating_duration_since(now) <= RETURN_TIME
+        self.expires_at.saturating_duration_since(now) <= RETURN_TIME
     }
 }
--- a/crates/quotas/src/own.rs
+++ b/crates/quotas/src/own.rs
@@ -38,7 +38,7 @@
     fn on_request(&mut self, _now: Instant, _tenant: TenantNumber) {}
 
     fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision {
-        let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { good_until: now } };
+        let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { expires_at: now } };
         let Some(nodes) = self.sharing_nodes else { return TokenDecision::Refused };
         let own = self.tenants.entry(tenant).or_insert(OwnTokens { tokens: 0.0, counted_at: now });
         let passed = now.saturating_duration_since(own.counted_at).as_secs_f64();
@@ -50,11 +50,11 @@
             return TokenDecision::Refused;
         }
         own.tokens -= 1.0;
-        TokenDecision::Granted { good_until: now + TOKEN_LIFETIME }
+        TokenDecision::Granted { expires_at: now + TOKEN_LIFETIME }
     }
 
-    fn give_back(&mut self, now: Instant, tenant: TenantNumber, good_until: Instant) {
-        if good_until <= now {
+    fn give_back(&mut self, now: Instant, tenant: TenantNumber, expires_at: Instant) {
+        if expires_at <= now {
             return;
         }
         if let Some(own) = self.tenants.get_mut(&tenant) {
--- a/crates/quotas/src/pooled.rs
+++ b/crates/quotas/src/pooled.rs
@@ -122,26 +122,26 @@
     }
 
     fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision {
-        let good_until = now + TOKEN_LIFETIME;
-        let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { good_until } };
+        let expires_at = now + TOKEN_LIFETIME;
+        let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { expires_at } };
         self.earned.earn(now);
         let earned = self.earned.kept().as_secs_f64() * quota.rate.as_f64();
         let held = self.tenants.entry(tenant).or_default();
-        if let Some(good_until) = held.take_given(now) {
-            return TokenDecision::Granted { good_until };
+        if let Some(expires_at) = held.take_given(now) {
+            return TokenDecision::Granted { expires_at };
         }
         if held.take_earned(earned) {
-            return TokenDecision::Granted { good_until };
+            return TokenDecision::Granted { expires_at };
         }
         if held.limit.exhausted_for(now).is_some() { TokenDecision::Refused } else { TokenDecision::Ask }
     }
 
-    fn give_back(&mut self, now: Instant, tenant: TenantNumber, good_until: Instant) {
+    fn give_back(&mut self, now: Instant, tenant: TenantNumber, expires_at: Instant) {
         if !self.quotas.contains_key(&tenant) {
             return;
         }
-        self.expired += u64::from(good_until <= now);
-        self.tenants.entry(tenant).or_default().add(now, good_until, 1);
+        self.expired += u64::from(expires_at <= now);
+        self.tenants.entry(tenant).or_default().add(now, expires_at, 1);
     }
 
     fn next_token_in(&self, now: Instant, tenant: TenantNumber) -> Duration {
--- a/crates/quotas/src/sharing.rs
+++ b/crates/quotas/src/sharing.rs
@@ -29,7 +29,7 @@
     /// The request may be sent.
     Granted {
         /// Until when the token may be given back.
-        good_until: Instant,
+        expires_at: Instant,
     },
     /// Others have to be asked; the answer to the report that follows may bring one.
     Ask,
@@ -51,8 +51,8 @@
     /// Takes a token for one request of `tenant`.
     fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision;
 
-    /// Takes a token back whose request has not run. After `good_until` it is lost.
-    fn give_back(&mut self, now: Instant, tenant: TenantNumber, good_until: Instant);
+    /// Takes a token back whose request has not run. After `expires_at` it is lost.
+    fn give_back(&mut self, now: Instant, tenant: TenantNumber, expires_at: Instant);
 
     /// Shortest time after which a token of a tenant can be expected that was refused one.
     fn next_token_in(&self, now: Instant, tenant: TenantNumber) -> Duration;
--- a/crates/quotas/tests/tokens.rs
+++ b/crates/quotas/tests/tokens.rs
@@ -38,8 +38,8 @@
 /// Takes all tokens that there are.
 fn take_all(shares: &mut PooledShares, now: Instant) -> Vec<Instant> {
     let mut taken = Vec::new();
-    while let TokenDecision::Granted { good_until } = shares.take(now, number("hot")) {
-        taken.push(good_until);
+    while let TokenDecision::Granted { expires_at } = shares.take(now, number("hot")) {
+        taken.push(expires_at);
     }
     taken
 }
