--- a/crates/forwarding/src/quotas.rs
+++ b/crates/forwarding/src/quotas.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, timeout_at};
 use umberpond_model::{TenantName, TenantNumber};
 use umberpond_quotas::{
-    LONGEST_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision, TokenPool,
+    MAX_TOKEN_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision, TokenPool,
 };
 
 use crate::clock::now;
@@ -96,7 +96,7 @@
             TokenTurn::Told(answer) => answer,
             TokenTurn::Waits(waiter) => {
                 self.token_wanted.notify_one();
-                let until = until.min(Instant::now() + LONGEST_WAIT);
+                let until = until.min(Instant::now() + MAX_TOKEN_WAIT);
                 let told = timeout_at(until, waiter).await;
                 told.ok().and_then(Result::ok).unwrap_or(TokenDecision::Refused)
             }
--- a/crates/quotas/src/lib.rs
+++ b/crates/quotas/src/lib.rs
@@ -23,4 +23,4 @@
 pub use own::OwnShares;
 pub use pool::TokenPool;
 pub use pooled::PooledShares;
-pub use sharing::{LONGEST_WAIT, QuotaSharing, Quotas, TokenDecision, quotas_of};
+pub use sharing::{MAX_TOKEN_WAIT, QuotaSharing, Quotas, TokenDecision, quotas_of};
--- a/crates/quotas/src/sharing.rs
+++ b/crates/quotas/src/sharing.rs
@@ -11,7 +11,7 @@
 use crate::message::{QuotaGrant, QuotaReport};
 
 /// Longest time that a request waits for a token: as long as an answer that is on its way may bring one.
-pub const LONGEST_WAIT: Duration = Duration::from_millis(250);
+pub const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
 
 /// The quotas of one configuration; a tenant that is missing may send any number of requests.
 pub type Quotas = HashMap<TenantNumber, Quota>;
--- a/crates/quotas/tests/support/mod.rs
+++ b/crates/quotas/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use umberpond_config::{KeyHash, Quota, Tenant};
 use umberpond_model::{HomeRegions, RequestRate, TenantName, TenantNumber};
 use umberpond_quotas::{
-    LONGEST_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
+    MAX_TOKEN_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
     TokenPool, quotas_of,
 };
 
@@ -223,7 +223,7 @@
     }
 
     fn tell_waiting(&mut self, index: usize) {
-        let longest_wait = if self.network.is_some() { LONGEST_WAIT } else { SHORT_WAIT };
+        let longest_wait = if self.network.is_some() { MAX_TOKEN_WAIT } else { SHORT_WAIT };
         let (now, node) = (self.now, &mut self.nodes[index]);
         if !node.is_running {
             return;
