--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -4,7 +4,7 @@
 
 use umberpond_model::NodeName;
 use umberpond_scheduling::LoadReport;
-use umberpond_selection::{Choice, RetryStake};
+use umberpond_selection::{Choice, RetryPriority};
 use umberpond_telemetry::{Event, RequestDetail};
 
 use super::Attempts;
@@ -128,7 +128,7 @@
             service: self.request.service.clone(),
             attempts: self.attempts(),
             origin: self.request.origin.word(),
-            stake: refusal.stake.map_or("none", RetryStake::word),
+            stake: refusal.stake.map_or("none", RetryPriority::word),
             saved: refusal.saved,
             most_saved: refusal.most_saved,
         });
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 use umberpond_model::ServiceName;
-use umberpond_selection::{RetryBudget, RetryBudgetSettings, RetryOwner, RetryStake, RetryStakes};
+use umberpond_selection::{RetryBudget, RetryBudgetSettings, RetryOwner, RetryPriority, RetryStakes};
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::call_rates::{CallRates, RunCalls};
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RetryRefusal {
     /// What was at stake; absent if nothing was, since the run has lost another call.
-    pub(crate) stake: Option<RetryStake>,
+    pub(crate) stake: Option<RetryPriority>,
     /// Repeats that the node has saved.
     pub(crate) saved: u64,
     /// The most that it may save.
@@ -95,7 +95,7 @@
     fn refusal(
         &mut self,
         now: std::time::Instant,
-        stake: Option<RetryStake>,
+        stake: Option<RetryPriority>,
         nodes: Option<usize>,
         settings: &RetryBudgetSettings,
     ) -> RetryRefusal {
@@ -199,7 +199,7 @@
         rates.of_route(route).all(|(service, rate)| {
             let left = self.with_account(service, |account, nodes| {
                 let most_saved = account.budget.most_saved(now, nodes, &self.settings);
-                let reserved = account.stakes.reserved(now, RetryStake::RunInDoubt, most_saved);
+                let reserved = account.stakes.reserved(now, RetryPriority::RunInDoubt, most_saved);
                 account.budget.left_above(now, nodes, &self.settings, reserved)
             });
             left >= rate * f64::from(runs)
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -8,7 +8,7 @@
 use umberpond_http1::Fields;
 use umberpond_model::{HomeRegions, ServiceName};
 use umberpond_quarantine::{RequestContent, RequestFingerprint, RequestKey};
-use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryOwner, RetryStake};
+use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryOwner, RetryPriority};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
 
 use super::sharing::SharingNodes;
@@ -153,7 +153,7 @@
     // Of four, two are kept for runs that lack one call: a quarter of eight, as three were asked for.
     while ledger.take_for(&called, RetryOwner::Caller { rank: 1 }).is_ok() {}
     let refusal = ledger.take_for(&called, lacks_two).unwrap_err();
-    assert_eq!((refusal.stake, refusal.saved), (Some(RetryStake::RunInDoubt), 1));
+    assert_eq!((refusal.stake, refusal.saved), (Some(RetryPriority::RunInDoubt), 1));
     assert!(ledger.take_for(&called, lacks_one).is_ok());
     assert!(ledger.take_for(&called, lacks_one).is_err(), "the last one is spent");
 }
--- a/crates/selection/src/retry_stake.rs
+++ b/crates/selection/src/retry_stake.rs
@@ -15,7 +15,7 @@
 
 /// What is lost if a repeat is withheld, the least first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum RetryStake {
+pub enum RetryPriority {
     /// A run that lacks several calls: one repeat doesn't save it.
     RunInDoubt,
     /// A request of a caller. Repeats of more urgent ones are asked for as well.
@@ -26,7 +26,7 @@
     LastCall,
 }
 
-impl RetryStake {
+impl RetryPriority {
     /// Greatest share of what may be saved that is kept for repeats with more at stake.
     const fn reserved_share(self) -> f64 {
         match self {
@@ -82,13 +82,13 @@
 
 impl RetryStakes {
     /// Takes in that `owner` asks for a repeat; tells what is at stake with it. Absent if nothing is, since the run has lost another call.
-    pub fn claim(&mut self, now: Instant, owner: RetryOwner) -> Option<RetryStake> {
+    pub fn claim(&mut self, now: Instant, owner: RetryOwner) -> Option<RetryPriority> {
         match owner {
             RetryOwner::Run(others) if others.lost > 0 => None,
-            RetryOwner::Run(others) if others.rejected > 0 => Some(RetryStake::RunInDoubt),
+            RetryOwner::Run(others) if others.rejected > 0 => Some(RetryPriority::RunInDoubt),
             RetryOwner::Run(_) => {
                 self.last_calls.add(now);
-                Some(RetryStake::LastCall)
+                Some(RetryPriority::LastCall)
             }
             RetryOwner::Caller { rank } => {
                 self.ranks.entry(rank).or_default().add(now);
@@ -100,22 +100,22 @@
     /// Repeats that one with `stake` leaves, where `most_saved` may be saved: a share of these. Requests leave no more than was asked for lately with
     /// more at stake; a run that lacks several calls leaves the whole share, since a repeat hardly saves it.
     #[must_use]
-    pub fn reserved(&self, now: Instant, stake: RetryStake, most_saved: f64) -> f64 {
+    pub fn reserved(&self, now: Instant, stake: RetryPriority, most_saved: f64) -> f64 {
         let share = stake.reserved_share() * most_saved;
         let last_calls = self.last_calls.get(now);
         let requests: f64 = self.ranks.values().map(|count| count.get(now)).sum();
         match stake {
-            RetryStake::RunInDoubt if last_calls + requests >= FEWEST_CLAIMS => share,
-            RetryStake::RunInDoubt | RetryStake::LastCall => 0.0,
-            RetryStake::LessUrgentRequest => share.min(last_calls + self.most_urgent(now)),
-            RetryStake::Request => share.min(last_calls),
+            RetryPriority::RunInDoubt if last_calls + requests >= FEWEST_CLAIMS => share,
+            RetryPriority::RunInDoubt | RetryPriority::LastCall => 0.0,
+            RetryPriority::LessUrgentRequest => share.min(last_calls + self.most_urgent(now)),
+            RetryPriority::Request => share.min(last_calls),
         }
     }
 
     /// Whether repeats of more urgent requests are asked for.
-    fn stake_of_rank(&self, now: Instant, rank: u8) -> RetryStake {
+    fn stake_of_rank(&self, now: Instant, rank: u8) -> RetryPriority {
         let more_urgent: f64 = self.ranks.range(..rank).map(|(_rank, count)| count.get(now)).sum();
-        if more_urgent >= FEWEST_CLAIMS { RetryStake::LessUrgentRequest } else { RetryStake::Request }
+        if more_urgent >= FEWEST_CLAIMS { RetryPriority::LessUrgentRequest } else { RetryPriority::Request }
     }
 
     /// Repeats asked for lately of the most urgent rank.
--- a/crates/selection/tests/retry_stake.rs
+++ b/crates/selection/tests/retry_stake.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use umberpond_selection::{
-    OtherCalls, RetryBudget, RetryBudgetSettings, RetryOwner, RetryStake, RetryStakes,
+    OtherCalls, RetryBudget, RetryBudgetSettings, RetryOwner, RetryPriority, RetryStakes,
 };
 
 const SETTINGS: RetryBudgetSettings =
@@ -279,9 +279,9 @@
     let mut stakes = RetryStakes::default();
     let others = OtherCalls { open: 0, rejected: 1, lost: 1 };
     assert_eq!(stakes.claim(now, RetryOwner::Run(others)), None);
-    assert_eq!(stakes.claim(now, RetryOwner::Run(LAST)), Some(RetryStake::LastCall));
+    assert_eq!(stakes.claim(now, RetryOwner::Run(LAST)), Some(RetryPriority::LastCall));
     let in_doubt = OtherCalls { open: 1, rejected: 1, lost: 0 };
-    assert_eq!(stakes.claim(now, RetryOwner::Run(in_doubt)), Some(RetryStake::RunInDoubt));
+    assert_eq!(stakes.claim(now, RetryOwner::Run(in_doubt)), Some(RetryPriority::RunInDoubt));
 }
 
 /// Repeats that may be saved in the tests of what is kept.
@@ -294,26 +294,26 @@
     for rank in [5, 4, 3] {
         let stake = stakes.claim(now, RetryOwner::Caller { rank }).unwrap();
         let reserved = stakes.reserved(now, stake, MOST_SAVED);
-        assert_eq!(stake, RetryStake::Request);
+        assert_eq!(stake, RetryPriority::Request);
         assert!(reserved <= 0.0, "{reserved} for nobody");
     }
     let less = stakes.claim(now, RetryOwner::Caller { rank: 4 }).unwrap();
-    assert_eq!(less, RetryStake::LessUrgentRequest);
+    assert_eq!(less, RetryPriority::LessUrgentRequest);
     assert!((0.9..=1.1).contains(&stakes.reserved(now, less, MOST_SAVED)), "for one more urgent request");
     for _ in 0..3 {
         stakes.claim(now, RetryOwner::Run(LAST));
     }
-    assert!((2.9..=3.1).contains(&stakes.reserved(now, RetryStake::Request, MOST_SAVED)));
-    assert!(stakes.reserved(now, RetryStake::LastCall, MOST_SAVED) <= 0.0);
+    assert!((2.9..=3.1).contains(&stakes.reserved(now, RetryPriority::Request, MOST_SAVED)));
+    assert!(stakes.reserved(now, RetryPriority::LastCall, MOST_SAVED) <= 0.0);
     for _ in 0..100 {
         stakes.claim(now, RetryOwner::Run(LAST));
     }
-    let kept = [RetryStake::Request, RetryStake::LessUrgentRequest, RetryStake::RunInDoubt]
+    let kept = [RetryPriority::Request, RetryPriority::LessUrgentRequest, RetryPriority::RunInDoubt]
         .map(|stake| stakes.reserved(now, stake, MOST_SAVED));
     assert!(kept.is_sorted() && kept[0] < kept[2] && kept[2] < MOST_SAVED, "{kept:?}");
     let later = now + Duration::from_secs(60);
     let request = stakes.claim(later, RetryOwner::Caller { rank: 4 }).unwrap();
-    assert_eq!(request, RetryStake::Request);
+    assert_eq!(request, RetryPriority::Request);
     assert!(stakes.reserved(later, request, MOST_SAVED) < 0.01);
 }
 
