--- a/crates/selection/src/lib.rs
+++ b/crates/selection/src/lib.rs
@@ -7,7 +7,7 @@
 mod draw;
 mod endpoint;
 mod releases;
-mod retry_stake;
+mod retry_priority;
 mod route_times;
 mod selector;
 
@@ -16,5 +16,5 @@
 pub use draw::DrawSettings;
 pub use endpoint::{Endpoint, Observation};
 pub use releases::{ReleaseGroup, ReleaseShare};
-pub use retry_stake::{OtherCalls, RetryOwner, RetryPriority, RetryStakes};
+pub use retry_priority::{OtherCalls, RetryOwner, RetryPriority, RetryStakes};
 pub use selector::{AnswerTimes, Selector, SelectorSettings};
