--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -22,7 +22,7 @@
 pub use call_level::CallLevel;
 pub use call_outlook::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
 pub use cold_start_limiter::ColdStartLimiter;
-pub use decision::{Decision, DisplacedRequest, Refusal, Dequeued, Ticket};
+pub use decision::{Decision, Dequeued, DisplacedRequest, Refusal, Ticket};
 pub use duplicates::DuplicateWindow;
 pub use fair_shares::TenantUsage;
 pub use load::LoadReport;
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -11,7 +11,7 @@
 use crate::load::permille;
 use crate::place::Place;
 use crate::{
-    ColdStartLimiter, Decision, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown, Dequeued,
+    ColdStartLimiter, Decision, Dequeued, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown,
     Ticket, WorkItem,
 };
 
