--- a/crates/forwarding/src/outbound/attempts/repeating.rs
+++ b/crates/forwarding/src/outbound/attempts/repeating.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
-use umberpond_selection::RetryOwner;
+use umberpond_selection::RetryInitiator;
 
 use super::Attempts;
 use crate::message::NotRun;
@@ -40,8 +40,8 @@
     /// Takes a repeat out of the budget of the service, by what is at stake with it.
     fn take_retry(&mut self) -> bool {
         let owner = match &self.followed {
-            Some(followed) => RetryOwner::Run(followed.others()),
-            None => RetryOwner::Caller { rank: self.request.priority },
+            Some(followed) => RetryInitiator::Run(followed.others()),
+            None => RetryInitiator::Caller { rank: self.request.priority },
         };
         match self.outbound.ledger.take_for(&self.request.service, owner) {
             Ok(grant) => self.grant = Some(grant),
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 use umberpond_model::ServiceName;
-use umberpond_selection::{RetryBudget, RetryBudgetSettings, RetryOwner, RetryPriority, RetryStakes};
+use umberpond_selection::{RetryBudget, RetryBudgetSettings, RetryInitiator, RetryPriority, RetryStakes};
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::call_rates::{CallRates, RunCalls};
@@ -76,7 +76,7 @@
     fn take_for(
         &mut self,
         now: std::time::Instant,
-        owner: RetryOwner,
+        owner: RetryInitiator,
         nodes: Option<usize>,
         settings: &RetryBudgetSettings,
     ) -> Result<(), RetryRefusal> {
@@ -163,7 +163,7 @@
     pub(crate) fn take_for(
         self: &Arc<Self>,
         service: &ServiceName,
-        owner: RetryOwner,
+        owner: RetryInitiator,
     ) -> Result<RetryGrant, RetryRefusal> {
         let now = Instant::now().into_std();
         let taken = self.with_account(service, |account, nodes| {
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -8,7 +8,7 @@
 use umberpond_http1::Fields;
 use umberpond_model::{HomeRegions, ServiceName};
 use umberpond_quarantine::{RequestContent, RequestFingerprint, RequestKey};
-use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryOwner, RetryPriority};
+use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryInitiator, RetryPriority};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
 
 use super::sharing::SharingNodes;
@@ -135,9 +135,9 @@
     for _ in 0..81 {
         ledger.count_request(&called, CallOrigin::FirstRun);
     }
-    let lacks_one = RetryOwner::Run(OtherCalls { open: 1, rejected: 0, lost: 0 });
-    let lacks_two = RetryOwner::Run(OtherCalls { open: 0, rejected: 1, lost: 0 });
-    let failed = RetryOwner::Run(OtherCalls { open: 0, rejected: 0, lost: 1 });
+    let lacks_one = RetryInitiator::Run(OtherCalls { open: 1, rejected: 0, lost: 0 });
+    let lacks_two = RetryInitiator::Run(OtherCalls { open: 0, rejected: 1, lost: 0 });
+    let failed = RetryInitiator::Run(OtherCalls { open: 0, rejected: 0, lost: 1 });
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
     assert!(ledger.bears_calls(ROUTE, 4), "nothing is kept while nobody asks");
     // Eight are saved.
@@ -151,7 +151,7 @@
         drop(ledger.take_for(&called, lacks_one).unwrap());
     }
     // Of four, two are kept for runs that lack one call: a quarter of eight, as three were asked for.
-    while ledger.take_for(&called, RetryOwner::Caller { rank: 1 }).is_ok() {}
+    while ledger.take_for(&called, RetryInitiator::Caller { rank: 1 }).is_ok() {}
     let refusal = ledger.take_for(&called, lacks_two).unwrap_err();
     assert_eq!((refusal.stake, refusal.saved), (Some(RetryPriority::RunInDoubt), 1));
     assert!(ledger.take_for(&called, lacks_one).is_ok());
--- a/crates/selection/src/lib.rs
+++ b/crates/selection/src/lib.rs
@@ -16,5 +16,5 @@
 pub use draw::DrawSettings;
 pub use endpoint::{Endpoint, Observation};
 pub use releases::{ReleaseGroup, ReleaseShare};
-pub use retry_priority::{OtherCalls, RetryOwner, RetryPriority, RetryStakes};
+pub use retry_priority::{OtherCalls, RetryInitiator, RetryPriority, RetryStakes};
 pub use selector::{AnswerTimes, Selector, SelectorSettings};
--- a/crates/selection/src/retry_priority.rs
+++ b/crates/selection/src/retry_priority.rs
@@ -62,7 +62,7 @@
 
 /// Who needs the answer of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RetryOwner {
+pub enum RetryInitiator {
     /// A caller, whose request has this rank; 0 is the most urgent.
     Caller {
         /// Rank of the request.
@@ -82,15 +82,15 @@
 
 impl RetryStakes {
     /// Takes in that `owner` asks for a repeat; tells what is at stake with it. Absent if nothing is, since the run has lost another call.
-    pub fn claim(&mut self, now: Instant, owner: RetryOwner) -> Option<RetryPriority> {
+    pub fn claim(&mut self, now: Instant, owner: RetryInitiator) -> Option<RetryPriority> {
         match owner {
-            RetryOwner::Run(others) if others.lost > 0 => None,
-            RetryOwner::Run(others) if others.rejected > 0 => Some(RetryPriority::RunInDoubt),
-            RetryOwner::Run(_) => {
+            RetryInitiator::Run(others) if others.lost > 0 => None,
+            RetryInitiator::Run(others) if others.rejected > 0 => Some(RetryPriority::RunInDoubt),
+            RetryInitiator::Run(_) => {
                 self.last_calls.add(now);
                 Some(RetryPriority::LastCall)
             }
-            RetryOwner::Caller { rank } => {
+            RetryInitiator::Caller { rank } => {
                 self.ranks.entry(rank).or_default().add(now);
                 Some(self.stake_of_rank(now, rank))
             }
--- a/crates/selection/tests/budget.rs
+++ b/crates/selection/tests/budget.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use quickcheck::{QuickCheck, quickcheck};
-use umberpond_selection::{OtherCalls, RetryBudget, RetryBudgetSettings, RetryOwner, RetryStakes};
+use umberpond_selection::{OtherCalls, RetryBudget, RetryBudgetSettings, RetryInitiator, RetryStakes};
 
 const SETTINGS: RetryBudgetSettings =
     RetryBudgetSettings { ratio: 0.2, extra: 12.0, window: Duration::from_secs(10) };
@@ -144,7 +144,7 @@
 }
 
 /// As [`worst_excess`], with repeats for each of `owners` in turn; for nobody in particular if there are none.
-fn worst_excess_by_stake(turns: &[(u8, u8, u8)], owners: &[RetryOwner]) -> f64 {
+fn worst_excess_by_stake(turns: &[(u8, u8, u8)], owners: &[RetryInitiator]) -> f64 {
     let started = Instant::now();
     // Two windows later than zero, so that the windows before the first one have a beginning.
     let mut at = SETTINGS.window * 2;
@@ -205,10 +205,10 @@
 }
 
 /// A caller whose request has some rank, or a run with other calls of all kinds.
-fn owner(is_run: bool, number: u8) -> RetryOwner {
+fn owner(is_run: bool, number: u8) -> RetryInitiator {
     let bit = |place: u8| u32::from(number >> place & 1);
     let others = OtherCalls { open: bit(0), rejected: bit(1), lost: bit(2) };
-    if is_run { RetryOwner::Run(others) } else { RetryOwner::Caller { rank: number % 4 } }
+    if is_run { RetryInitiator::Run(others) } else { RetryInitiator::Caller { rank: number % 4 } }
 }
 
 quickcheck! {
@@ -226,7 +226,8 @@
 #[test]
 fn no_window_is_overspent_by_stake() {
     fn is_kept(turns: Vec<(u8, u8, u8)>, owners: Vec<(bool, u8)>) -> bool {
-        let owners: Vec<RetryOwner> = owners.iter().map(|(is_run, number)| owner(*is_run, *number)).collect();
+        let owners: Vec<RetryInitiator> =
+            owners.iter().map(|(is_run, number)| owner(*is_run, *number)).collect();
         turns.is_empty() || worst_excess_by_stake(&turns, &owners) <= 0.0
     }
     QuickCheck::new()
--- a/crates/selection/tests/retry_priority.rs
+++ b/crates/selection/tests/retry_priority.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use umberpond_selection::{
-    OtherCalls, RetryBudget, RetryBudgetSettings, RetryOwner, RetryPriority, RetryStakes,
+    OtherCalls, RetryBudget, RetryBudgetSettings, RetryInitiator, RetryPriority, RetryStakes,
 };
 
 const SETTINGS: RetryBudgetSettings =
@@ -200,8 +200,8 @@
         let Node { budget, stakes } = &mut self.nodes[node];
         let owner = match self.spending {
             Spending::FirstComeFirstServed => return budget.take(now, Some(NODES), &SETTINGS),
-            Spending::ByStake if is_run => RetryOwner::Run(others),
-            Spending::ByRank | Spending::ByStake => RetryOwner::Caller { rank },
+            Spending::ByStake if is_run => RetryInitiator::Run(others),
+            Spending::ByRank | Spending::ByStake => RetryInitiator::Caller { rank },
         };
         let Some(stake) = stakes.claim(now, owner) else { return false };
         let reserved = stakes.reserved(now, stake, budget.most_saved(now, Some(NODES), &SETTINGS));
@@ -278,10 +278,10 @@
     let now = Instant::now();
     let mut stakes = RetryStakes::default();
     let others = OtherCalls { open: 0, rejected: 1, lost: 1 };
-    assert_eq!(stakes.claim(now, RetryOwner::Run(others)), None);
-    assert_eq!(stakes.claim(now, RetryOwner::Run(LAST)), Some(RetryPriority::LastCall));
+    assert_eq!(stakes.claim(now, RetryInitiator::Run(others)), None);
+    assert_eq!(stakes.claim(now, RetryInitiator::Run(LAST)), Some(RetryPriority::LastCall));
     let in_doubt = OtherCalls { open: 1, rejected: 1, lost: 0 };
-    assert_eq!(stakes.claim(now, RetryOwner::Run(in_doubt)), Some(RetryPriority::RunInDoubt));
+    assert_eq!(stakes.claim(now, RetryInitiator::Run(in_doubt)), Some(RetryPriority::RunInDoubt));
 }
 
 /// Repeats that may be saved in the tests of what is kept.
@@ -292,27 +292,27 @@
     let now = Instant::now();
     let mut stakes = RetryStakes::default();
     for rank in [5, 4, 3] {
-        let stake = stakes.claim(now, RetryOwner::Caller { rank }).unwrap();
+        let stake = stakes.claim(now, RetryInitiator::Caller { rank }).unwrap();
         let reserved = stakes.reserved(now, stake, MOST_SAVED);
         assert_eq!(stake, RetryPriority::Request);
         assert!(reserved <= 0.0, "{reserved} for nobody");
     }
-    let less = stakes.claim(now, RetryOwner::Caller { rank: 4 }).unwrap();
+    let less = stakes.claim(now, RetryInitiator::Caller { rank: 4 }).unwrap();
     assert_eq!(less, RetryPriority::LessUrgentRequest);
     assert!((0.9..=1.1).contains(&stakes.reserved(now, less, MOST_SAVED)), "for one more urgent request");
     for _ in 0..3 {
-        stakes.claim(now, RetryOwner::Run(LAST));
+        stakes.claim(now, RetryInitiator::Run(LAST));
     }
     assert!((2.9..=3.1).contains(&stakes.reserved(now, RetryPriority::Request, MOST_SAVED)));
     assert!(stakes.reserved(now, RetryPriority::LastCall, MOST_SAVED) <= 0.0);
     for _ in 0..100 {
-        stakes.claim(now, RetryOwner::Run(LAST));
+        stakes.claim(now, RetryInitiator::Run(LAST));
     }
     let kept = [RetryPriority::Request, RetryPriority::LessUrgentRequest, RetryPriority::RunInDoubt]
         .map(|stake| stakes.reserved(now, stake, MOST_SAVED));
     assert!(kept.is_sorted() && kept[0] < kept[2] && kept[2] < MOST_SAVED, "{kept:?}");
     let later = now + Duration::from_secs(60);
-    let request = stakes.claim(later, RetryOwner::Caller { rank: 4 }).unwrap();
+    let request = stakes.claim(later, RetryInitiator::Caller { rank: 4 }).unwrap();
     assert_eq!(request, RetryPriority::Request);
     assert!(stakes.reserved(later, request, MOST_SAVED) < 0.01);
 }
