--- a/crates/forwarding/src/outbound/attempts/observing.rs
+++ b/crates/forwarding/src/outbound/attempts/observing.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 use umberpond_model::NodeName;
-use umberpond_selection::{AnswerTimes, Choice, Observation};
+use umberpond_selection::{Choice, Observation, ResponseTimes};
 
 use super::Attempts;
 use crate::message::{AttemptResult, NotRun};
@@ -33,7 +33,7 @@
         if let AttemptResult::Answered(answer) = result {
             let overhead = elapsed.saturating_sub(answer.served_in).saturating_sub(answer.waited);
             let route = &self.request.route.name;
-            let times = AnswerTimes { served: answer.served_in, overhead };
+            let times = ResponseTimes { served: answer.served_in, overhead };
             selector.on_times(now, service, route, &choice.node, times);
         }
     }
--- a/crates/selection/src/lib.rs
+++ b/crates/selection/src/lib.rs
@@ -17,4 +17,4 @@
 pub use endpoint::{Endpoint, Observation};
 pub use releases::{ReleaseGroup, ReleaseShare};
 pub use retry_priority::{OtherCalls, RetryInitiator, RetryPriority, RetryStakes};
-pub use selector::{AnswerTimes, Selector, SelectorSettings};
+pub use selector::{ResponseTimes, Selector, SelectorSettings};
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -222,7 +222,7 @@
         service: &ServiceName,
         route: &RouteName,
         node: &NodeName,
-        times: AnswerTimes,
+        times: ResponseTimes,
     ) {
         let Some(tracked) = self.tracked(service, node) else { return };
         tracked.on_overhead(times.overhead);
@@ -355,7 +355,7 @@
 
 /// How long an answered request took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     /// Time in the back end.
     pub served: Duration,
     /// Time outside the back end and its queue.
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -8,7 +8,8 @@
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
 use umberpond_scheduling::{Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 use umberpond_selection::{
-    AnswerTimes, Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, Selector, SelectorSettings,
+    Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, Selector,
+    SelectorSettings,
 };
 
 const SLOTS: u32 = 4;
@@ -343,7 +344,7 @@
         let node = name_of(request.at);
         let caller = &mut self.callers[request.caller];
         caller.on_ended(now, &self.service, &node, Observation::Answered(report));
-        let times = AnswerTimes { served: taken, overhead: HOP * 2 };
+        let times = ResponseTimes { served: taken, overhead: HOP * 2 };
         caller.on_times(now, &self.service, &self.route, &node, times);
         self.count(&request);
         self.start_waiting(request.at);
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -7,7 +7,8 @@
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
 use umberpond_scheduling::LoadReport;
 use umberpond_selection::{
-    AnswerTimes, Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, Selector, SelectorSettings,
+    Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, Selector,
+    SelectorSettings,
 };
 
 const SLOTS: u32 = 4;
@@ -126,7 +127,7 @@
         let slow = Observation::Answered(report(number, 1, 100, 250));
         world.selector.on_sent(&world.service, &node(0));
         world.selector.on_ended(world.now, &world.service, &node(0), slow);
-        let times = AnswerTimes { served: Duration::from_millis(250), overhead: Duration::ZERO };
+        let times = ResponseTimes { served: Duration::from_millis(250), overhead: Duration::ZERO };
         world.selector.on_times(world.now, &world.service, &world.route, &node(0), times);
     }
     assert_eq!(world.choose().service, Duration::from_millis(100));
