--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -19,7 +19,7 @@
 use umberpond_model::{Evacuations, Incarnation};
 use umberpond_rollouts::ReleaseEvidence;
 use umberpond_scheduling::LoadReport;
-use umberpond_selection::{DrawSettings, SelectorSettings};
+use umberpond_selection::{SamplingSettings, SelectorSettings};
 use umberpond_telemetry::{Event, Telemetry};
 
 use crate::back_end::{BackEndMonitor, CheckSettings, check_periodically, follow_warmth, probe_at_start};
@@ -182,7 +182,7 @@
         caller: config.service.clone(),
         seed: environment.seed_for(SeedUse::RequestPath),
     };
-    let draw = if config.chooses_by_speed { DrawSettings::BY_SPEED } else { DrawSettings::default() };
+    let draw = if config.chooses_by_speed { SamplingSettings::BY_SPEED } else { SamplingSettings::default() };
     let selector = SelectorSettings { draw, ..SelectorSettings::default() };
     let retry_budget = config.retry_budget;
     let settings = OutboundSettings { selector, retry_budget, ..OutboundSettings::default() };
--- a/crates/selection/src/draw.rs
+++ b/crates/selection/src/draw.rs
@@ -10,7 +10,7 @@
 
 /// How many endpoints are drawn, and which ones more often.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct DrawSettings {
+pub struct SamplingSettings {
     /// Endpoints of each distance that are drawn.
     pub count: usize,
     /// The same where they are uneven and have room.
@@ -20,7 +20,7 @@
     pub speed_power: f64,
 }
 
-impl DrawSettings {
+impl SamplingSettings {
     /// For back ends whose speeds differ much.
     pub const BY_SPEED: Self = Self { count: 2, uneven_count: 6, speed_power: 2.0 };
 
@@ -30,7 +30,7 @@
     }
 }
 
-impl Default for DrawSettings {
+impl Default for SamplingSettings {
     /// All endpoints have the same weight.
     fn default() -> Self {
         Self { count: 2, uneven_count: 2, speed_power: 0.0 }
@@ -59,7 +59,7 @@
 
 impl Draw {
     /// The draw among `candidates`.
-    pub(crate) fn among<E>(candidates: &[Candidate<E>], settings: &DrawSettings) -> Self {
+    pub(crate) fn among<E>(candidates: &[Candidate<E>], settings: &SamplingSettings) -> Self {
         let count = f64::from(u32::try_from(candidates.len()).unwrap_or(u32::MAX)).max(1.0);
         let free_share = candidates.iter().map(|candidate| candidate.free_share).sum::<f64>() / count;
         let is_wide = free_share >= ROOM_SHARE && are_uneven(candidates);
--- a/crates/selection/src/lib.rs
+++ b/crates/selection/src/lib.rs
@@ -13,7 +13,7 @@
 
 pub use budget::{RetryBudget, RetryBudgetSettings};
 pub use choice::{Choice, Query};
-pub use draw::DrawSettings;
+pub use draw::SamplingSettings;
 pub use endpoint::{Endpoint, Observation};
 pub use releases::{ReleaseGroup, ReleaseShare};
 pub use retry_priority::{OtherCalls, RetryInitiator, RetryPriority, RetryStakes};
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -9,7 +9,7 @@
 use umberpond_scheduling::LoadReport;
 
 use crate::choice::{Choice, Query};
-use crate::draw::{Candidate, Draw, DrawSettings};
+use crate::draw::{Candidate, Draw, SamplingSettings};
 use crate::endpoint::{Endpoint, Observation, Tracked};
 use crate::releases::{ReleaseGroup, ReleaseShare, Releases};
 use crate::route_times::ServiceTimes;
@@ -37,7 +37,7 @@
     /// Cost of an answer that is lost.
     pub failure_cost: f64,
     /// Which endpoints are drawn at random for one choice.
-    pub draw: DrawSettings,
+    pub draw: SamplingSettings,
 }
 
 impl Default for SelectorSettings {
@@ -47,7 +47,7 @@
             zone_cost_after_refusal: 0.3,
             region_cost: 0.5,
             failure_cost: 1.5,
-            draw: DrawSettings::default(),
+            draw: SamplingSettings::default(),
         }
     }
 }
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -8,7 +8,7 @@
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
 use umberpond_scheduling::{Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 use umberpond_selection::{
-    Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, Selector,
+    Choice, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, SamplingSettings, Selector,
     SelectorSettings,
 };
 
@@ -56,7 +56,7 @@
     pub reaches_callers: bool,
     /// Time between two reports of a node to all others.
     pub news_every: Duration,
-    pub draw: DrawSettings,
+    pub draw: SamplingSettings,
     pub seed: u64,
 }
 
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -7,7 +7,7 @@
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
 use umberpond_scheduling::LoadReport;
 use umberpond_selection::{
-    Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, Selector,
+    Choice, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, SamplingSettings, Selector,
     SelectorSettings,
 };
 
@@ -54,7 +54,7 @@
 
 impl World {
     fn new(count: usize) -> Self {
-        let settings = SelectorSettings { draw: DrawSettings::BY_SPEED, ..SelectorSettings::default() };
+        let settings = SelectorSettings { draw: SamplingSettings::BY_SPEED, ..SelectorSettings::default() };
         let mut selector = Selector::new(locality(), settings);
         let (service, now) = (name("archive"), Instant::now());
         selector.set_endpoints(now, &service, (0..count).map(endpoint).collect());
