--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -111,7 +111,7 @@
                 return self.not_run(not_run);
             }
             let Some(choice) = self.choose_in_turn() else { return self.not_run(last) };
-            if self.free_attempts > BLIND_ATTEMPTS && !choice.has_room {
+            if self.free_attempts > BLIND_ATTEMPTS && !choice.has_free_slot {
                 return self.not_run(last);
             }
             let Some(body) = self.request.body.for_attempt() else { return self.not_run(last) };
--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -30,7 +30,7 @@
     /// Address at which that node takes requests.
     pub address: SocketAddr,
     /// Whether a slot is free there, by what is known of it.
-    pub has_room: bool,
+    pub has_free_slot: bool,
     /// Whether it is in the own zone.
     pub is_near: bool,
     /// The life of the back end that is meant.
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -307,7 +307,7 @@
         Choice {
             node: tracked.endpoint.node.clone(),
             address: tracked.endpoint.address,
-            has_room: tracked.held() + 1.0 <= tracked.slots(),
+            has_free_slot: tracked.held() + 1.0 <= tracked.slots(),
             is_near: self.distance(&tracked.endpoint.locality) == Distance::Zone,
             instance: tracked.endpoint.instance.clone(),
             service: Duration::from_secs_f64(estimate.service),
--- a/crates/selection/tests/choice.rs
+++ b/crates/selection/tests/choice.rs
@@ -231,7 +231,7 @@
 #[test]
 fn a_choice_says_whether_a_slot_should_be_free() {
     let mut world = World::new(vec![endpoint("one", "north", "a")]);
-    for (number, held, has_room) in [(1, 9, true), (2, 10, false), (3, 14, false), (4, 3, true)] {
+    for (number, held, has_free_slot) in [(1, 9, true), (2, 10, false), (3, 14, false), (4, 3, true)] {
         world.told("one", report(number, held.min(10), held.saturating_sub(10), 100));
         let query = Query {
             route: &world.route,
@@ -241,6 +241,6 @@
             homes: &HomeRegions::default(),
         };
         let choice = world.selector.choose(world.now, &mut world.random, &world.service, query).unwrap();
-        assert_eq!(choice.has_room, has_room, "{held} of 10 slots");
+        assert_eq!(choice.has_free_slot, has_free_slot, "{held} of 10 slots");
     }
 }
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -233,7 +233,7 @@
     fn on_ask(&mut self, number: usize) {
         let Some(choice) = self.choose(number) else { return self.give_up(number) };
         let tried = self.requests[number].tried.len();
-        if tried >= MAX_ATTEMPTS || (tried > BLIND_ATTEMPTS && !choice.has_room) {
+        if tried >= MAX_ATTEMPTS || (tried > BLIND_ATTEMPTS && !choice.has_free_slot) {
             return self.give_up(number);
         }
         let request = &mut self.requests[number];
