--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -87,7 +87,7 @@
     /// Sends attempts until the request is answered or given up, at the latest when `cut_off` is reached.
     pub(super) async fn run(mut self, cut_off: impl Future<Output = ()>) -> Reply {
         self.outbound.ledger.count_request(&self.request.service, self.request.origin);
-        self.group = self.outbound.selector.lock().deal_release(&self.request.service);
+        self.group = self.outbound.selector.lock().assign_release(&self.request.service);
         let answered = tokio::select! {
             biased;
             reply = self.send_all() => Some(reply),
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -115,7 +115,7 @@
     }
 
     /// Deals one request of `service` to the releases that may get it.
-    pub fn deal_release(&mut self, service: &ServiceName) -> ReleaseGroup {
+    pub fn assign_release(&mut self, service: &ServiceName) -> ReleaseGroup {
         self.releases.get_mut(service).map_or(ReleaseGroup::Others, Releases::deal)
     }
 
