--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -255,7 +255,7 @@
 
     /// Takes in what a node told of the load of its back end.
     pub fn on_report(&self, service: &ServiceName, node: &NodeName, report: LoadReport) {
-        self.selector.lock().on_present_report(now(), service, node, report);
+        self.selector.lock().on_fresh_report(now(), service, node, report);
     }
 
     /// The quotas of tenants.
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -139,7 +139,7 @@
     }
 
     /// Takes in what the node `node` has told just now of the load of its back end.
-    pub fn on_present_report(
+    pub fn on_fresh_report(
         &mut self,
         now: Instant,
         service: &ServiceName,
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -372,7 +372,7 @@
             report.slowdown_percent = 0;
         }
         for caller in &mut self.callers {
-            caller.on_present_report(now, &self.service, &name_of(number), report);
+            caller.on_fresh_report(now, &self.service, &name_of(number), report);
         }
         self.plan(self.load.news_every, Step::News(number));
     }
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -62,7 +62,7 @@
     }
 
     fn told(&mut self, number: usize, report: LoadReport) {
-        self.selector.on_present_report(self.now, &self.service, &node(number), report);
+        self.selector.on_fresh_report(self.now, &self.service, &node(number), report);
     }
 
     fn choose(&mut self) -> Choice {
