--- a/crates/forwarding/src/outbound/attempts/observing.rs
+++ b/crates/forwarding/src/outbound/attempts/observing.rs
@@ -34,7 +34,7 @@
             let overhead = elapsed.saturating_sub(answer.served_in).saturating_sub(answer.waited);
             let route = &self.request.route.name;
             let times = ResponseTimes { served: answer.served_in, overhead };
-            selector.on_times(now, service, route, &choice.node, times);
+            selector.on_response_times(now, service, route, &choice.node, times);
         }
     }
 }
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -216,7 +216,7 @@
 
     /// Takes in how long an answered request of `route` took in the back end, and how long outside it and its queue. It comes after the
     /// answer's load report, which tells at which speed the back end worked.
-    pub fn on_times(
+    pub fn on_response_times(
         &mut self,
         now: Instant,
         service: &ServiceName,
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -345,7 +345,7 @@
         let caller = &mut self.callers[request.caller];
         caller.on_ended(now, &self.service, &node, Observation::Answered(report));
         let times = ResponseTimes { served: taken, overhead: HOP * 2 };
-        caller.on_times(now, &self.service, &self.route, &node, times);
+        caller.on_response_times(now, &self.service, &self.route, &node, times);
         self.count(&request);
         self.start_waiting(request.at);
     }
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -128,7 +128,7 @@
         world.selector.on_sent(&world.service, &node(0));
         world.selector.on_ended(world.now, &world.service, &node(0), slow);
         let times = ResponseTimes { served: Duration::from_millis(250), overhead: Duration::ZERO };
-        world.selector.on_times(world.now, &world.service, &world.route, &node(0), times);
+        world.selector.on_response_times(world.now, &world.service, &world.route, &node(0), times);
     }
     assert_eq!(world.choose().service, Duration::from_millis(100));
     world.now += LONG;
