--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -19,7 +19,7 @@
 
 /// What a repeat is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RepeatKind {
+pub(crate) enum RetryKind {
     /// A request that is sent to another back end after it has reached one.
     SentAgain,
     /// The first arrival of a call of a repeated run.
@@ -43,11 +43,11 @@
         self.repeats + self.repeated_calls + self.withheld > 0
     }
 
-    const fn count_repeat(&mut self, kind: RepeatKind, is_taken: bool) {
+    const fn count_repeat(&mut self, kind: RetryKind, is_taken: bool) {
         let count = match kind {
             _ if !is_taken => &mut self.withheld,
-            RepeatKind::SentAgain => &mut self.repeats,
-            RepeatKind::RepeatedCall => &mut self.repeated_calls,
+            RetryKind::SentAgain => &mut self.repeats,
+            RetryKind::RepeatedCall => &mut self.repeated_calls,
         };
         *count += 1;
     }
@@ -146,7 +146,7 @@
     }
 
     /// Takes a repeat out of the budget of `service`, whatever is at stake with it; absent if the budget is spent.
-    pub(crate) fn take(self: &Arc<Self>, service: &ServiceName, kind: RepeatKind) -> Option<RetryGrant> {
+    pub(crate) fn take(self: &Arc<Self>, service: &ServiceName, kind: RetryKind) -> Option<RetryGrant> {
         let now = Instant::now().into_std();
         let is_taken = self.with_account(service, |account, nodes| {
             let is_taken = account.budget.take(now, nodes, &self.settings);
@@ -168,7 +168,7 @@
         let now = Instant::now().into_std();
         let taken = self.with_account(service, |account, nodes| {
             let taken = account.take_for(now, owner, nodes, &self.settings);
-            account.counts.count_repeat(RepeatKind::SentAgain, taken.is_ok());
+            account.counts.count_repeat(RetryKind::SentAgain, taken.is_ok());
             taken
         });
         taken.map(|()| self.grant(service))
