--- a/crates/forwarding/src/outbound/attempts/repeating.rs
+++ b/crates/forwarding/src/outbound/attempts/repeating.rs
@@ -56,7 +56,7 @@
     /// Takes the first arrival of a call of a repeated run out of the budget of the service. The run holds a slot already, so it
     /// goes before all else.
     pub(super) fn take_repeated_call(&mut self) -> bool {
-        self.grant = self.outbound.ledger.take(&self.request.service, RetryKind::RepeatedCall);
+        self.grant = self.outbound.ledger.take(&self.request.service, RetryKind::RetriedRunCall);
         if self.grant.is_none() {
             self.tell_withheld(&self.outbound.ledger.refusal(&self.request.service));
         }
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -23,7 +23,7 @@
     /// A request that is sent to another back end after it has reached one.
     SentAgain,
     /// The first arrival of a call of a repeated run.
-    RepeatedCall,
+    RetriedRunCall,
 }
 
 /// What was counted of one service since the last line about it.
@@ -47,7 +47,7 @@
         let count = match kind {
             _ if !is_taken => &mut self.withheld,
             RetryKind::SentAgain => &mut self.repeats,
-            RetryKind::RepeatedCall => &mut self.repeated_calls,
+            RetryKind::RetriedRunCall => &mut self.repeated_calls,
         };
         *count += 1;
     }
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -93,7 +93,7 @@
     assert!(ledger.bears_calls(ROUTE, 2), "four calls are earned");
     assert!(!ledger.bears_calls(ROUTE, 3));
     assert!(ledger.bears_calls(ROUTE + 1, 3), "runs of another route make no calls");
-    let grant = ledger.take(&called, RetryKind::RepeatedCall).unwrap();
+    let grant = ledger.take(&called, RetryKind::RetriedRunCall).unwrap();
     assert!(!ledger.bears_calls(ROUTE, 2));
     grant.give_back();
     assert!(ledger.bears_calls(ROUTE, 2));
@@ -165,7 +165,7 @@
     for _ in 0..100 {
         ledger.count_request(&called, CallOrigin::RepeatedRun);
     }
-    assert!(ledger.take(&called, RetryKind::RepeatedCall).is_none());
+    assert!(ledger.take(&called, RetryKind::RetriedRunCall).is_none());
 }
 
 #[tokio::test(start_paused = true)]
