--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -102,7 +102,7 @@
     }
 
     async fn send_all(&mut self) -> Reply {
-        if self.request.origin == CallOrigin::RepeatedRun && !self.take_repeated_call() {
+        if self.request.origin == CallOrigin::RetriedRun && !self.take_repeated_call() {
             return self.not_run(NotRun::before_back_end(NotRunReason::RetryBudget));
         }
         let mut last = NotRun::before_back_end(self.nowhere());
@@ -168,7 +168,7 @@
             queue_deadline: request.queue_deadline(),
             service_time: choice.service,
             is_caller_retry: request.is_caller_retry,
-            is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RepeatedRun,
+            is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RetriedRun,
             call: request.call(),
         }
     }
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -139,7 +139,7 @@
         let now = Instant::now().into_std();
         self.with_account(service, |account, nodes| {
             account.counts.requests += 1;
-            if origin != CallOrigin::RepeatedRun {
+            if origin != CallOrigin::RetriedRun {
                 account.budget.count_request(now, nodes, &self.settings);
             }
         });
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -26,7 +26,7 @@
     /// A call of the first run of a request.
     FirstRun,
     /// A call of a run that was a repeat.
-    RepeatedRun,
+    RetriedRun,
 }
 
 impl CallOrigin {
@@ -35,7 +35,7 @@
         match self {
             Self::Outside => "outside",
             Self::FirstRun => "first-run",
-            Self::RepeatedRun => "repeated-run",
+            Self::RetriedRun => "repeated-run",
         }
     }
 }
@@ -133,7 +133,7 @@
             Some((_, count)) => *count += 1,
             None => run.calls.push((service.clone(), 1)),
         }
-        let origin = if run.is_repeat { CallOrigin::RepeatedRun } else { CallOrigin::FirstRun };
+        let origin = if run.is_repeat { CallOrigin::RetriedRun } else { CallOrigin::FirstRun };
         RequestSource { origin, run: Some(run.context.clone()) }
     }
 
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -66,7 +66,7 @@
     let repeat = runs.begin(&attempt("two.call", true));
     let ledger = service("ledger");
     assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::FirstRun);
-    assert_eq!(runs.on_request(b"two.call.x", &ledger).origin, CallOrigin::RepeatedRun);
+    assert_eq!(runs.on_request(b"two.call.x", &ledger).origin, CallOrigin::RetriedRun);
     for other in ["one", "oneself", "other.x", "two.x", ""] {
         assert_eq!(runs.on_request(other.as_bytes(), &ledger).origin, CallOrigin::Outside, "{other}");
     }
@@ -74,7 +74,7 @@
     assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::Outside, "the run is over");
     assert_eq!(runs.repeated_runs(ROUTE), 1);
     drop(repeat);
-    assert_eq!(runs.on_request(b"two.call.y", &ledger).origin, CallOrigin::RepeatedRun, "it may still run");
+    assert_eq!(runs.on_request(b"two.call.y", &ledger).origin, CallOrigin::RetriedRun, "it may still run");
     sleep(Duration::from_secs(3)).await;
     drop(runs.begin(&attempt("three", false)));
     assert_eq!(runs.on_request(b"two.call.z", &ledger).origin, CallOrigin::Outside, "its deadline is over");
@@ -163,7 +163,7 @@
     let ledger = ledger(1.0);
     let called = service("ledger");
     for _ in 0..100 {
-        ledger.count_request(&called, CallOrigin::RepeatedRun);
+        ledger.count_request(&called, CallOrigin::RetriedRun);
     }
     assert!(ledger.take(&called, RetryKind::RetriedRunCall).is_none());
 }
