--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -23,7 +23,7 @@
 use crate::clock::now;
 use crate::dialect::Dialect;
 use crate::quarantine::Quarantine;
-use crate::repeats::{OpenRuns, RetryLedger};
+use crate::repeats::{ActiveRuns, RetryLedger};
 use crate::routing::TenantTable;
 use crate::suspended_time::SuspendedTime;
 use crate::upstream::{
@@ -105,7 +105,7 @@
     /// Whether the rollout of the service leaves the back end's release any requests.
     is_release_open: AtomicBool,
     pub(super) answers: Mutex<AnswerTally>,
-    pub(super) runs: Arc<OpenRuns>,
+    pub(super) runs: Arc<ActiveRuns>,
     pub(super) calls: CallGate,
     pub(super) suspended: Arc<SuspendedTime>,
     /// When operators were told last how tenants share the slots.
@@ -147,7 +147,7 @@
             is_evacuated: AtomicBool::new(false),
             is_release_open: AtomicBool::new(true),
             answers: Mutex::default(),
-            runs: Arc::new(OpenRuns::new(dialect.call_separator)),
+            runs: Arc::new(ActiveRuns::new(dialect.call_separator)),
             calls: CallGate::default(),
             suspended: Arc::default(),
             suspect_lane: SuspectLane::new(Arc::clone(&quarantine)),
@@ -341,7 +341,7 @@
     }
 
     /// The runs at the back end.
-    pub(crate) const fn runs(&self) -> &Arc<OpenRuns> {
+    pub(crate) const fn runs(&self) -> &Arc<ActiveRuns> {
         &self.runs
     }
 
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -85,13 +85,13 @@
 
 /// The runs at the back end beside this node.
 #[derive(Debug)]
-pub(crate) struct OpenRuns {
+pub(crate) struct ActiveRuns {
     /// What stands between the identity of a request and the rest of that of a call.
     separator: Option<u8>,
     state: Mutex<State>,
 }
 
-impl OpenRuns {
+impl ActiveRuns {
     /// Without runs; `separator` as in [`crate::Dialect::call_separator`].
     pub(crate) fn new(separator: Option<u8>) -> Self {
         Self { separator, state: Mutex::default() }
@@ -184,7 +184,7 @@
 /// A call of a run at the back end. It counts as lost when it is dropped before its end: whoever made it awaits no answer.
 #[derive(Debug)]
 pub(crate) struct FollowedCall {
-    runs: Arc<OpenRuns>,
+    runs: Arc<ActiveRuns>,
     run: Bytes,
     call: Bytes,
 }
@@ -216,7 +216,7 @@
 /// with a request whose answer nobody awaits, and make calls.
 #[derive(Debug)]
 pub(crate) struct OpenRun {
-    runs: Arc<OpenRuns>,
+    runs: Arc<ActiveRuns>,
     id: Bytes,
     deadline: Instant,
 }
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -12,7 +12,7 @@
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
 
 use super::sharing::SharingNodes;
-use super::{CallOrigin, OpenRuns, RetryKind, RetryLedger};
+use super::{ActiveRuns, CallOrigin, RetryKind, RetryLedger};
 use crate::message::{Attempt, RequestBody};
 
 const ROUTE: u32 = 7;
@@ -61,7 +61,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_call_is_known_by_the_identity_of_its_run() {
-    let runs = Arc::new(OpenRuns::new(Some(b'.')));
+    let runs = Arc::new(ActiveRuns::new(Some(b'.')));
     let first = runs.begin(&attempt("one", false));
     let repeat = runs.begin(&attempt("two.call", true));
     let ledger = service("ledger");
@@ -103,7 +103,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn it_is_known_how_the_other_calls_of_a_run_stand() {
-    let runs = Arc::new(OpenRuns::new(Some(b'.')));
+    let runs = Arc::new(ActiveRuns::new(Some(b'.')));
     let run = runs.begin(&attempt("one", false));
     let follow = |id: &'static str| runs.follow(&Bytes::from_static(id.as_bytes()));
     assert!(follow("other.a").is_none(), "no such run");
