--- a/crates/forwarding/src/repeats/mod.rs
+++ b/crates/forwarding/src/repeats/mod.rs
@@ -13,4 +13,4 @@
 mod tests;
 
 pub(crate) use ledger::{RetryGrant, RetryKind, RetryLedger, RetryRefusal};
-pub(crate) use open_runs::{ActiveRuns, CallOrigin, FollowedCall, RunContext};
+pub(crate) use open_runs::{ActiveRuns, CallOrigin, RunContext, TrackedCall};
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -138,11 +138,11 @@
     }
 
     /// Follows the call named `id` until it ends; absent if it is none of a run at the back end.
-    pub(crate) fn follow(self: &Arc<Self>, id: &Bytes) -> Option<FollowedCall> {
+    pub(crate) fn follow(self: &Arc<Self>, id: &Bytes) -> Option<TrackedCall> {
         let mut state = self.state.lock();
         let end = self.end_of_run(&state, id)?;
         state.runs.get_mut(&id[..end])?.followed.begin(id);
-        Some(FollowedCall { runs: Arc::clone(self), run: id.slice(..end), call: id.clone() })
+        Some(TrackedCall { runs: Arc::clone(self), run: id.slice(..end), call: id.clone() })
     }
 
     /// Where in the identity of a call that of its run ends; absent if no run is known to have made it.
@@ -183,13 +183,13 @@
 
 /// A call of a run at the back end. It counts as lost when it is dropped before its end: whoever made it awaits no answer.
 #[derive(Debug)]
-pub(crate) struct FollowedCall {
+pub(crate) struct TrackedCall {
     runs: Arc<ActiveRuns>,
     run: Bytes,
     call: Bytes,
 }
 
-impl FollowedCall {
+impl TrackedCall {
     /// Takes in that a back end has turned the call away.
     pub(crate) fn on_rejected(&self) {
         self.runs.set_call(&self.run, &self.call, CallState::Rejected);
@@ -206,7 +206,7 @@
     }
 }
 
-impl Drop for FollowedCall {
+impl Drop for TrackedCall {
     fn drop(&mut self) {
         self.runs.set_call(&self.run, &self.call, CallState::Lost);
     }
