--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -19,7 +19,7 @@
 use super::state::Outbound;
 use crate::message::{Answer, Attempt, AttemptResult, NotRun, RequestBody};
 use crate::outcome::{NotRunReason, UnknownReason};
-use crate::repeats::{CallOrigin, RetryGrant, TrackedCall};
+use crate::repeats::{CallOrigin, RetryPermit, TrackedCall};
 
 /// Attempts after the first one that never came near a back end, after which only nodes are asked where a slot should be free. Where
 /// three nodes of a service are full, most are; what more attempts find is not worth their bytes and processor time.
@@ -51,7 +51,7 @@
     /// The request among the calls of the run that has made it, if one has.
     followed: Option<TrackedCall>,
     /// A repeat that is paid for and has not arrived yet.
-    grant: Option<RetryGrant>,
+    grant: Option<RetryPermit>,
     /// Whether a back end has ended while it ran the request.
     has_crashed: bool,
     /// The failure that a back end answered, for the case that nothing better comes.
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -146,7 +146,7 @@
     }
 
     /// Takes a repeat out of the budget of `service`, whatever is at stake with it; absent if the budget is spent.
-    pub(crate) fn take(self: &Arc<Self>, service: &ServiceName, kind: RetryKind) -> Option<RetryGrant> {
+    pub(crate) fn take(self: &Arc<Self>, service: &ServiceName, kind: RetryKind) -> Option<RetryPermit> {
         let now = Instant::now().into_std();
         let is_taken = self.with_account(service, |account, nodes| {
             let is_taken = account.budget.take(now, nodes, &self.settings);
@@ -164,7 +164,7 @@
         self: &Arc<Self>,
         service: &ServiceName,
         owner: RetryInitiator,
-    ) -> Result<RetryGrant, RetryRefusal> {
+    ) -> Result<RetryPermit, RetryRefusal> {
         let now = Instant::now().into_std();
         let taken = self.with_account(service, |account, nodes| {
             let taken = account.take_for(now, owner, nodes, &self.settings);
@@ -174,8 +174,8 @@
         taken.map(|()| self.grant(service))
     }
 
-    fn grant(self: &Arc<Self>, service: &ServiceName) -> RetryGrant {
-        RetryGrant { ledger: Arc::clone(self), service: service.clone(), has_arrived: true }
+    fn grant(self: &Arc<Self>, service: &ServiceName) -> RetryPermit {
+        RetryPermit { ledger: Arc::clone(self), service: service.clone(), has_arrived: true }
     }
 
     /// What is told of a repeat that was withheld whatever was at stake.
@@ -268,20 +268,20 @@
 
 /// A repeat that was taken out of a budget. It counts as sent when it is dropped, also with a request whose caller has left.
 #[derive(Debug)]
-pub(crate) struct RetryGrant {
+pub(crate) struct RetryPermit {
     ledger: Arc<RetryLedger>,
     service: ServiceName,
     has_arrived: bool,
 }
 
-impl RetryGrant {
+impl RetryPermit {
     /// Gives the repeat back: it arrived at no back end.
     pub(crate) fn give_back(mut self) {
         self.has_arrived = false;
     }
 }
 
-impl Drop for RetryGrant {
+impl Drop for RetryPermit {
     fn drop(&mut self) {
         self.ledger.end_grant(&self.service, self.has_arrived);
     }
--- a/crates/forwarding/src/repeats/mod.rs
+++ b/crates/forwarding/src/repeats/mod.rs
@@ -12,5 +12,5 @@
 #[cfg(test)]
 mod tests;
 
-pub(crate) use ledger::{RetryGrant, RetryKind, RetryLedger, RetryRefusal};
+pub(crate) use ledger::{RetryKind, RetryLedger, RetryPermit, RetryRefusal};
 pub(crate) use open_runs::{ActiveRuns, CallOrigin, RunContext, TrackedCall};
