--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -193,7 +193,7 @@
 
     /// Whether the budgets of the called services bear the calls of `runs` repeated runs of `route` at the back end beside this node. A repeated run
     /// lacks all its calls, so nothing of what is kept for runs that lack one is spent on it.
-    pub(crate) fn bears_calls(&self, route: u32, runs: u32) -> bool {
+    pub(crate) fn can_afford_calls(&self, route: u32, runs: u32) -> bool {
         let now = Instant::now().into_std();
         let rates = self.rates.lock();
         rates.of_route(route).all(|(service, rate)| {
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -84,21 +84,21 @@
 async fn a_repeat_begins_only_if_its_calls_can_be_paid_for() {
     let ledger = ledger(0.2);
     let called = service("ledger");
-    assert!(ledger.bears_calls(ROUTE, 1), "nothing is known of its calls");
+    assert!(ledger.can_afford_calls(ROUTE, 1), "nothing is known of its calls");
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
-    assert!(!ledger.bears_calls(ROUTE, 1));
+    assert!(!ledger.can_afford_calls(ROUTE, 1));
     for _ in 0..41 {
         ledger.count_request(&called, CallOrigin::FirstRun);
     }
-    assert!(ledger.bears_calls(ROUTE, 2), "four calls are earned");
-    assert!(!ledger.bears_calls(ROUTE, 3));
-    assert!(ledger.bears_calls(ROUTE + 1, 3), "runs of another route make no calls");
+    assert!(ledger.can_afford_calls(ROUTE, 2), "four calls are earned");
+    assert!(!ledger.can_afford_calls(ROUTE, 3));
+    assert!(ledger.can_afford_calls(ROUTE + 1, 3), "runs of another route make no calls");
     let grant = ledger.take(&called, RetryKind::RetriedRunCall).unwrap();
-    assert!(!ledger.bears_calls(ROUTE, 2));
+    assert!(!ledger.can_afford_calls(ROUTE, 2));
     grant.give_back();
-    assert!(ledger.bears_calls(ROUTE, 2));
+    assert!(ledger.can_afford_calls(ROUTE, 2));
     drop(ledger.take(&called, RetryKind::SentAgain));
-    assert!(!ledger.bears_calls(ROUTE, 2), "what may have arrived is spent");
+    assert!(!ledger.can_afford_calls(ROUTE, 2), "what may have arrived is spent");
 }
 
 #[tokio::test(start_paused = true)]
@@ -139,11 +139,11 @@
     let lacks_two = RetryInitiator::Run(OtherCalls { open: 0, rejected: 1, lost: 0 });
     let failed = RetryInitiator::Run(OtherCalls { open: 0, rejected: 0, lost: 1 });
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
-    assert!(ledger.bears_calls(ROUTE, 4), "nothing is kept while nobody asks");
+    assert!(ledger.can_afford_calls(ROUTE, 4), "nothing is kept while nobody asks");
     // Eight are saved.
     drop(ledger.take_for(&called, lacks_one).unwrap());
-    assert!(ledger.bears_calls(ROUTE, 1));
-    assert!(!ledger.bears_calls(ROUTE, 2), "six are kept");
+    assert!(ledger.can_afford_calls(ROUTE, 1));
+    assert!(!ledger.can_afford_calls(ROUTE, 2), "six are kept");
     drop(ledger.take_for(&called, lacks_two).unwrap());
     let refusal = ledger.take_for(&called, failed).unwrap_err();
     assert_eq!((refusal.stake, refusal.saved, refusal.most_saved), (None, 6, 8));
