--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -144,7 +144,7 @@
     /// Refuses a run that would fail for want of its calls, while others want its slot.
     fn check_room_for_calls(&self, attempt: &Attempt) -> Result<(), NotRun> {
         let Some(ledger) = self.ledger.get() else { return Ok(()) };
-        let calls = ledger.calls_of(attempt.route);
+        let calls = ledger.expected_calls(attempt.route);
         if calls.is_empty() || !self.admission.is_slot_wanted() {
             return Ok(());
         }
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -212,7 +212,7 @@
     }
 
     /// The services that runs of `route` call, with the calls of a run that makes any.
-    pub(crate) fn calls_of(&self, route: u32) -> Vec<(ServiceName, f64)> {
+    pub(crate) fn expected_calls(&self, route: u32) -> Vec<(ServiceName, f64)> {
         let rates = self.rates.lock();
         rates.of_route(route).map(|(service, rate)| (service.clone(), rate)).collect()
     }
