--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -275,7 +275,7 @@
     /// connections to other nodes may have ended meanwhile.
     pub fn on_suspended(&self, suspended: Duration) {
         self.inbound.suspended().add(suspended);
-        self.ledger.forget_saved();
+        self.ledger.discard_savings();
         self.hops.clear();
     }
 
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/repeats/ledger.rs
@@ -185,9 +185,9 @@
     }
 
     /// Drops what is saved of all budgets.
-    pub(crate) fn forget_saved(&self) {
+    pub(crate) fn discard_savings(&self) {
         for account in self.accounts.lock().values_mut() {
-            account.budget.forget_saved();
+            account.budget.discard_savings();
         }
     }
 
--- a/crates/selection/src/budget.rs
+++ b/crates/selection/src/budget.rs
@@ -100,7 +100,7 @@
     }
 
     /// Drops what is saved.
-    pub const fn forget_saved(&mut self) {
+    pub const fn discard_savings(&mut self) {
         self.saved = 0.0;
     }
 
--- a/crates/selection/tests/budget.rs
+++ b/crates/selection/tests/budget.rs
@@ -23,7 +23,7 @@
         budget.count_request(now, Some(4), &settings);
     }
     assert!(budget.left(now, Some(4), &settings) >= 9.0);
-    budget.forget_saved();
+    budget.discard_savings();
     assert!(!budget.take(now, Some(4), &settings));
 }
 
