--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -135,7 +135,7 @@
             return Ok(());
         }
         let Some(ledger) = self.ledger.get() else { return Ok(()) };
-        if ledger.can_afford_calls(attempt.route, self.runs.repeated_runs(attempt.route) + 1) {
+        if ledger.can_afford_calls(attempt.route, self.runs.retried_runs(attempt.route) + 1) {
             return Ok(());
         }
         Err(NotRun::before_back_end(NotRunReason::RetryBudget))
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -164,7 +164,7 @@
     }
 
     /// Repeated runs of `route` at the back end.
-    pub(crate) fn repeated_runs(&self, route: u32) -> u32 {
+    pub(crate) fn retried_runs(&self, route: u32) -> u32 {
         let state = self.state.lock();
         let is_counted = |run: &&Run| run.is_repeat && run.route == route;
         u32::try_from(state.runs.values().filter(is_counted).count()).unwrap_or(u32::MAX)
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -72,7 +72,7 @@
     }
     assert_eq!(first.end(), vec![(ledger.clone(), 1)]);
     assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::Outside, "the run is over");
-    assert_eq!(runs.repeated_runs(ROUTE), 1);
+    assert_eq!(runs.retried_runs(ROUTE), 1);
     drop(repeat);
     assert_eq!(runs.on_request(b"two.call.y", &ledger).origin, CallOrigin::RetriedRun, "it may still run");
     sleep(Duration::from_secs(3)).await;
