--- a/crates/forwarding/src/calls/inherited.rs
+++ b/crates/forwarding/src/calls/inherited.rs
@@ -7,7 +7,7 @@
 use crate::repeats::RunContext;
 
 /// Rank of a request whose route, or tenant, gives it the rank `own`: a call is as urgent as its run.
-pub(crate) fn inherited_rank(own: u8, run: Option<&RunContext>) -> u8 {
+pub(crate) fn inherited_priority(own: u8, run: Option<&RunContext>) -> u8 {
     run.map_or(own, |run| run.priority.min(own))
 }
 
