--- a/crates/forwarding/src/calls/inherited.rs
+++ b/crates/forwarding/src/calls/inherited.rs
@@ -13,6 +13,6 @@
 
 /// Longest time to the answer of a request that has arrived at `arrived` and has `own` by its caller and its route: an answer that comes after the end
 /// of the run is of no use.
-pub(crate) fn inherited_time(own: Duration, arrived: Instant, run: Option<&RunContext>) -> Duration {
+pub(crate) fn inherited_timeout(own: Duration, arrived: Instant, run: Option<&RunContext>) -> Duration {
     run.map_or(own, |run| run.deadline.saturating_duration_since(arrived).min(own))
 }
--- a/crates/forwarding/src/calls/mod.rs
+++ b/crates/forwarding/src/calls/mod.rs
@@ -6,4 +6,4 @@
 mod tests;
 
 pub(crate) use gate::CallGate;
-pub(crate) use inherited::{inherited_priority, inherited_time};
+pub(crate) use inherited::{inherited_priority, inherited_timeout};
--- a/crates/forwarding/src/calls/tests.rs
+++ b/crates/forwarding/src/calls/tests.rs
@@ -5,7 +5,7 @@
 use tokio::time::Instant;
 use umberpond_scheduling::CallLevel;
 
-use super::{inherited_priority, inherited_time};
+use super::{inherited_priority, inherited_timeout};
 use crate::repeats::RunContext;
 
 fn run(priority: u8, deadline: Instant) -> RunContext {
@@ -20,7 +20,7 @@
     assert_eq!(inherited_priority(9, Some(&run_of(1, 100))), 1);
     assert_eq!(inherited_priority(0, Some(&run_of(1, 100))), 0, "its own rank is more urgent");
     assert_eq!(inherited_priority(9, None), 9);
-    assert_eq!(inherited_time(own, now, Some(&run_of(1, 100))), Duration::from_millis(100));
-    assert_eq!(inherited_time(own, now, Some(&run_of(1, 900))), own);
-    assert_eq!(inherited_time(own, now, None), own);
+    assert_eq!(inherited_timeout(own, now, Some(&run_of(1, 100))), Duration::from_millis(100));
+    assert_eq!(inherited_timeout(own, now, Some(&run_of(1, 900))), own);
+    assert_eq!(inherited_timeout(own, now, None), own);
 }
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -17,7 +17,7 @@
 use super::prepared::PreparedRequest;
 use super::reply::{Reply, ReplyReason};
 use super::state::Outbound;
-use crate::calls::{inherited_priority, inherited_time};
+use crate::calls::{inherited_priority, inherited_timeout};
 use crate::inbound::millis;
 use crate::message::{RequestBody, id_text};
 use crate::outcome::NotRunReason;
@@ -100,7 +100,7 @@
         let run = source.run.as_ref();
         let own_rank = tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority);
         let priority = inherited_priority(own_rank, run);
-        let time = inherited_time(time, arrived, run);
+        let time = inherited_timeout(time, arrived, run);
         // A call brings what is left of its run, so that its time tells nothing of earlier tries.
         let tells_tries = told.is_some() && run.is_none();
         let is_caller_retry = tells_tries && self.caller_times.lock().record(&route.name, caller_timeout);
