--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -15,7 +15,7 @@
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop, decode_fields};
 use crate::body::{BodyStream, BrokenBody, PendingBody};
-use crate::message::{Answer, AnswerBody, Attempt, AttemptResult, BrokenAnswer, NotRun, RequestBody};
+use crate::message::{AnswerBody, Attempt, AttemptResult, BrokenAnswer, NotRun, RequestBody, Response};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// Length in bytes up to which a body is sent along with the head of its request, also to another zone: asking for it would cost
@@ -201,7 +201,7 @@
                 is_kept: is_sent_whole,
             })),
         };
-        AttemptResult::Answered(Answer {
+        AttemptResult::Answered(Response {
             status: answer.status,
             fields: decode_fields(answer.fields),
             body,
--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -10,7 +10,7 @@
 use umberpond_quarantine::{RequestFingerprint, RequestKey};
 use umberpond_scheduling::{CallLevel, LoadReport};
 
-use crate::message::{Answer, Attempt, NotRun, RequestBody, RunCall};
+use crate::message::{Attempt, NotRun, RequestBody, Response, RunCall};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// From the caller's node to the node beside the back end.
@@ -189,7 +189,7 @@
 
 impl HopAnswer {
     /// The message for `answer`, whose body travels as `body`.
-    pub(crate) fn of(answer: &Answer, body: HopBody) -> Self {
+    pub(crate) fn of(answer: &Response, body: HopBody) -> Self {
         Self {
             status: answer.status,
             fields: encode_fields(&answer.fields),
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -16,7 +16,7 @@
 use super::crash_watch::{CrashWatch, LifeSign};
 use super::suspect_lane::SuspectPlace;
 use crate::clock::now;
-use crate::message::{Answer, AnswerBody, Attempt, AttemptResult, NotRun, RequestBody, id_text};
+use crate::message::{AnswerBody, Attempt, AttemptResult, NotRun, RequestBody, Response, id_text};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::suspended_time::PastMoment;
 use crate::upstream::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED, UpstreamPool};
@@ -297,7 +297,7 @@
                 self.answers.lock().record(attempt.route, status < FIRST_FAILURE, served_in);
                 let body = holding(body, permit);
                 let load = self.load();
-                AttemptResult::Answered(Answer { status, fields, body, served_in, waited, load })
+                AttemptResult::Answered(Response { status, fields, body, served_in, waited, load })
             }
             ExchangeEnd::NotSent(reason) => {
                 run.end();
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -152,7 +152,7 @@
 #[derive(Debug)]
 pub enum AttemptResult {
     /// The back end answered.
-    Answered(Answer),
+    Answered(Response),
     /// It is known that the request did not run, and that it never will.
     NotRun(NotRun),
     /// The request may have run.
@@ -182,7 +182,7 @@
 
 /// The answer of a back end.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// End-to-end header fields.
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -17,7 +17,7 @@
 use super::prepared::PreparedRequest;
 use super::reply::{Reply, ReplyReason};
 use super::state::Outbound;
-use crate::message::{Answer, Attempt, AttemptResult, NotRun, RequestBody};
+use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::repeats::{CallOrigin, RetryPermit, TrackedCall};
 
@@ -207,7 +207,7 @@
         self.grant = None;
     }
 
-    fn on_answer(&mut self, choice: &Choice, answer: Answer) -> Next {
+    fn on_answer(&mut self, choice: &Choice, answer: Response) -> Next {
         let is_worth_repeating = matches!(answer.status, 500 | 502 | 503) && self.request.route.is_idempotent;
         if is_worth_repeating && self.may_reach_another() {
             self.may_have_run = Some(UnknownReason::AnswerSpoiled);
--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -9,7 +9,7 @@
 
 use super::Attempts;
 use crate::inbound::millis;
-use crate::message::{Answer, NotRun, id_text};
+use crate::message::{NotRun, Response, id_text};
 use crate::outbound::come_back::RefusedRequest;
 use crate::outbound::reply::{Reply, ReplyReason, Served};
 use crate::outcome::UnknownReason;
@@ -17,7 +17,7 @@
 
 impl Attempts<'_> {
     /// Passes the answer of a back end on.
-    pub(super) fn answer(&self, node: &NodeName, answer: Answer) -> Reply {
+    pub(super) fn answer(&self, node: &NodeName, answer: Response) -> Reply {
         let metrics = self.outbound.telemetry.metrics();
         metrics.request("answered", RequestDetail::Status(answer.status));
         metrics.request_time(self.request.arrived.elapsed().as_secs_f64());
--- a/crates/forwarding/src/outbound/expected_end.rs
+++ b/crates/forwarding/src/outbound/expected_end.rs
@@ -5,10 +5,10 @@
 use umberpond_selection::Choice;
 use umberpond_telemetry::{DelayCause, Metrics};
 
-use crate::message::Answer;
+use crate::message::Response;
 
 /// Notes how long an attempt took that was answered `elapsed` after it had been sent by `choice`.
-pub(super) fn note_expected(metrics: &Metrics, choice: &Choice, answer: &Answer, elapsed: Duration) {
+pub(super) fn note_expected(metrics: &Metrics, choice: &Choice, answer: &Response, elapsed: Duration) {
     if choice.total.is_zero() {
         return;
     }
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -7,7 +7,7 @@
 use umberpond_model::{Locality, NodeName, Version};
 
 use crate::dialect::CallerMarks;
-use crate::message::{Answer, AnswerBody};
+use crate::message::{AnswerBody, Response};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::routing::NoTenant;
 
@@ -112,7 +112,7 @@
     }
 
     /// The answer of a back end, which `node` at `locality` served.
-    pub(crate) fn of_answer(answer: Answer, marks: Option<&CallerMarks>, served: &Served<'_>) -> Self {
+    pub(crate) fn of_answer(answer: Response, marks: Option<&CallerMarks>, served: &Served<'_>) -> Self {
         let mut fields = answer.fields;
         if let Some(marks) = marks {
             fields.set(marks.outcome, "answered");
