--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -15,7 +15,7 @@
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop, decode_fields};
 use crate::body::{BodyStream, BrokenBody, PendingBody};
-use crate::message::{AnswerBody, Attempt, AttemptResult, BrokenAnswer, NotRun, RequestBody, Response};
+use crate::message::{Attempt, AttemptResult, BrokenAnswer, NotRun, RequestBody, Response, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// Length in bytes up to which a body is sent along with the head of its request, also to another zone: asking for it would cost
@@ -190,9 +190,9 @@
                 if is_sent_whole {
                     self.put_back(address, connection);
                 }
-                AnswerBody::Whole(whole.into())
+                ResponseBody::Whole(whole.into())
             }
-            HopBody::Parts(length) => AnswerBody::Hop(Box::new(HopAnswerBody {
+            HopBody::Parts(length) => ResponseBody::Hop(Box::new(HopAnswerBody {
                 connection: Some(connection),
                 pool: Arc::clone(self),
                 address,
--- a/crates/forwarding/src/hop/server.rs
+++ b/crates/forwarding/src/hop/server.rs
@@ -10,7 +10,7 @@
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop};
 use crate::body::{BodyDemand, BodyPart, PendingBody};
 use crate::inbound::Inbound;
-use crate::message::{AnswerBody, AttemptResult, RequestBody, Response};
+use crate::message::{AttemptResult, RequestBody, Response, ResponseBody};
 
 /// Parts of a body that are held before the sender has to wait.
 const BODY_PARTS: usize = 4;
@@ -113,7 +113,7 @@
 }
 
 async fn send_answer(writer: &mut Writer, mut answer: Response) -> Result<(), umberpond_net::FrameError> {
-    if let AnswerBody::Whole(whole) = &answer.body {
+    if let ResponseBody::Whole(whole) = &answer.body {
         let message = HopAnswer::of(&answer, HopBody::Whole(whole.to_vec()));
         return writer.send(&HopResponse::Answered(Box::new(message))).await.map(drop);
     }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -16,7 +16,7 @@
 use super::crash_watch::{CrashWatch, LifeSign};
 use super::suspect_lane::SuspectPlace;
 use crate::clock::now;
-use crate::message::{AnswerBody, Attempt, AttemptResult, NotRun, RequestBody, Response, id_text};
+use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, id_text};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::suspended_time::PastMoment;
 use crate::upstream::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED, UpstreamPool};
@@ -461,8 +461,8 @@
 }
 
 /// The body, holding the slot as long as it still comes from the back end.
-fn holding(mut body: AnswerBody, permit: Permit) -> AnswerBody {
-    if let AnswerBody::Upstream(upstream) = &mut body {
+fn holding(mut body: ResponseBody, permit: Permit) -> ResponseBody {
+    if let ResponseBody::Upstream(upstream) = &mut body {
         upstream.hold(permit);
     }
     body
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -188,7 +188,7 @@
     /// End-to-end header fields.
     pub fields: Fields,
     /// Body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// Time between handing the request to the back end and its answer.
     pub served_in: Duration,
     /// Time the request waited for a slot.
@@ -199,7 +199,7 @@
 
 /// Body of an answer.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// The whole body.
     Whole(Bytes),
     /// A long body that comes straight from the back end.
@@ -212,7 +212,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BrokenAnswer;
 
-impl AnswerBody {
+impl ResponseBody {
     /// Length, if known.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
--- a/crates/forwarding/src/outbound/failed_answer.rs
+++ b/crates/forwarding/src/outbound/failed_answer.rs
@@ -7,7 +7,7 @@
 use umberpond_model::NodeName;
 use umberpond_scheduling::LoadReport;
 
-use crate::message::{AnswerBody, Response};
+use crate::message::{Response, ResponseBody};
 
 /// A failure that a back end has answered, with its whole body. It goes to the caller if nothing better comes: the service's own word tells
 /// more than this node's. Of 42,000 tries on a day with lost answers 583 were answered 502, and 738 without this.
@@ -27,13 +27,13 @@
     /// Keeps `answer`; absent if its body has not come whole.
     pub(super) fn keep(node: &NodeName, answer: Response) -> Option<Self> {
         let Response { status, fields, body, served_in, waited, load } = answer;
-        let AnswerBody::Whole(body) = body else { return None };
+        let ResponseBody::Whole(body) = body else { return None };
         Some(Self { node: node.clone(), status, fields, body, served_in, waited, load })
     }
 
     /// The answer as it came.
     pub(super) fn into_answer(self) -> Response {
         let Self { node: _, status, fields, body, served_in, waited, load } = self;
-        Response { status, fields, body: AnswerBody::Whole(body), served_in, waited, load }
+        Response { status, fields, body: ResponseBody::Whole(body), served_in, waited, load }
     }
 }
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -7,7 +7,7 @@
 use umberpond_model::{Locality, NodeName, Version};
 
 use crate::dialect::CallerMarks;
-use crate::message::{AnswerBody, Response};
+use crate::message::{Response, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::routing::NoTenant;
 
@@ -83,7 +83,7 @@
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) fields: Fields,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
     /// Whether the caller's connection ends after it.
     pub(crate) closes: bool,
     /// Why this node answers by itself; absent if a back end has answered.
@@ -107,7 +107,7 @@
             fields.push(marks.outcome, reason.outcome());
             fields.push(marks.reason, word);
         }
-        let body = AnswerBody::Whole(Bytes::from(word));
+        let body = ResponseBody::Whole(Bytes::from(word));
         Self { status: reason.status(), fields, body, closes: reason.closes(), reason: Some(reason) }
     }
 
--- a/crates/forwarding/src/server/writer.rs
+++ b/crates/forwarding/src/server/writer.rs
@@ -6,7 +6,7 @@
 use tokio::io::{AsyncWrite, AsyncWriteExt};
 use umberpond_http1::{Framing, write_chunk, write_last_chunk, write_response_head};
 
-use crate::message::AnswerBody;
+use crate::message::ResponseBody;
 use crate::outbound::Reply;
 
 /// Answers up to this length are written together with their head.
@@ -38,7 +38,7 @@
         writer.write_all(&buffer).await?;
         return Ok(Written::Whole);
     }
-    if let AnswerBody::Whole(whole) = &reply.body
+    if let ResponseBody::Whole(whole) = &reply.body
         && whole.len() <= MAX_JOINED
     {
         buffer.extend_from_slice(whole);
@@ -51,7 +51,7 @@
 
 async fn write_body<W: AsyncWrite + Unpin>(
     writer: &mut W,
-    mut body: AnswerBody,
+    mut body: ResponseBody,
     framing: Framing,
 ) -> io::Result<Written> {
     let mut buffer = BytesMut::new();
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -18,7 +18,7 @@
 use super::pool::UpstreamPool;
 use crate::body::{BodyStream, PendingBody};
 use crate::dialect::Dialect;
-use crate::message::{AnswerBody, RequestBody};
+use crate::message::{RequestBody, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// Longest head of an answer, in bytes.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) enum ExchangeEnd {
     /// The back end answered this request, whatever the status.
-    Answered { status: u16, fields: Fields, body: AnswerBody },
+    Answered { status: u16, fields: Fields, body: ResponseBody },
     /// Nothing of the request reached the back end.
     NotSent(NotRunReason),
     /// The back end said that it did not run the request.
@@ -250,14 +250,14 @@
                 if is_kept {
                     self.pool.put_back(connection);
                 }
-                let body = AnswerBody::Whole(collected.freeze());
+                let body = ResponseBody::Whole(collected.freeze());
                 return Ok(answered(head, body));
             };
             if decoder.is_done() && collected.is_empty() {
                 if is_kept {
                     self.pool.put_back(connection);
                 }
-                return Ok(answered(head, AnswerBody::Whole(part)));
+                return Ok(answered(head, ResponseBody::Whole(part)));
             }
             collected.extend_from_slice(&part);
         }
@@ -272,7 +272,7 @@
             deadline: request.deadline,
             permit: None,
         };
-        Ok(answered(head, AnswerBody::Upstream(Box::new(body))))
+        Ok(answered(head, ResponseBody::Upstream(Box::new(body))))
     }
 
     /// Whether a success carries the back end's proof, and no encoding that nobody asked for.
@@ -291,7 +291,7 @@
     }
 }
 
-fn answered(head: ResponseHead, body: AnswerBody) -> ExchangeEnd {
+fn answered(head: ResponseHead, body: ResponseBody) -> ExchangeEnd {
     ExchangeEnd::Answered { status: head.status, fields: head.fields, body }
 }
 
