--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -192,7 +192,7 @@
                 }
                 ResponseBody::Whole(whole.into())
             }
-            HopBody::Parts(length) => ResponseBody::Hop(Box::new(HopAnswerBody {
+            HopBody::Parts(length) => ResponseBody::Hop(Box::new(HopResponseBody {
                 connection: Some(connection),
                 pool: Arc::clone(self),
                 address,
@@ -326,7 +326,7 @@
 }
 
 /// The rest of a long body that comes from another node.
-pub struct HopAnswerBody {
+pub struct HopResponseBody {
     connection: Option<HopConnection>,
     pool: Arc<HopPool>,
     address: SocketAddr,
@@ -335,13 +335,13 @@
     is_kept: bool,
 }
 
-impl std::fmt::Debug for HopAnswerBody {
+impl std::fmt::Debug for HopResponseBody {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.debug_struct("HopAnswerBody").field("address", &self.address).finish_non_exhaustive()
     }
 }
 
-impl HopAnswerBody {
+impl HopResponseBody {
     pub(crate) const fn length(&self) -> Option<u64> {
         self.length
     }
--- a/crates/forwarding/src/hop/mod.rs
+++ b/crates/forwarding/src/hop/mod.rs
@@ -4,6 +4,6 @@
 mod protocol;
 mod server;
 
-pub use client::HopAnswerBody;
+pub use client::HopResponseBody;
 pub(crate) use client::{HopPool, HopPoolSettings};
 pub(crate) use server::serve_hop_connection;
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -10,7 +10,7 @@
 use umberpond_scheduling::{CallLevel, LoadReport};
 
 use crate::body::PendingBody;
-use crate::hop::HopAnswerBody;
+use crate::hop::HopResponseBody;
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::upstream::UpstreamBody;
 
@@ -205,7 +205,7 @@
     /// A long body that comes straight from the back end.
     Upstream(Box<UpstreamBody>),
     /// A long body that comes from another node.
-    Hop(Box<HopAnswerBody>),
+    Hop(Box<HopResponseBody>),
 }
 
 /// An answer's body that broke off.
