--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -15,7 +15,9 @@
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop, decode_fields};
 use crate::body::{BodyStream, BrokenBody, PendingBody};
-use crate::message::{Attempt, AttemptResult, BrokenAnswer, NotRun, RequestBody, Response, ResponseBody};
+use crate::message::{
+    Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, ResponseBodyError,
+};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// Length in bytes up to which a body is sent along with the head of its request, also to another zone: asking for it would cost
@@ -346,11 +348,12 @@
         self.length
     }
 
-    pub(crate) async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    pub(crate) async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseBodyError> {
         let Some(mut connection) = self.connection.take() else { return Ok(None) };
-        let frame =
-            timeout_at(self.deadline, connection.reader.next()).await.map_err(|_elapsed| BrokenAnswer)?;
-        let frame = frame.map_err(|_broken| BrokenAnswer)?;
+        let frame = timeout_at(self.deadline, connection.reader.next())
+            .await
+            .map_err(|_elapsed| ResponseBodyError)?;
+        let frame = frame.map_err(|_broken| ResponseBodyError)?;
         match frame.map(|(response, _size)| response) {
             Some(HopResponse::BodyPart(part)) => {
                 self.connection = Some(connection);
@@ -362,7 +365,7 @@
                 }
                 Ok(None)
             }
-            _ => Err(BrokenAnswer),
+            _ => Err(ResponseBodyError),
         }
     }
 }
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -210,7 +210,7 @@
 
 /// An answer's body that broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenAnswer;
+pub struct ResponseBodyError;
 
 impl ResponseBody {
     /// Length, if known.
@@ -226,8 +226,8 @@
     /// The next part; `None` at the proper end.
     ///
     /// # Errors
-    /// Returns [`BrokenAnswer`] when the body breaks off.
-    pub async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    /// Returns [`ResponseBodyError`] when the body breaks off.
+    pub async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseBodyError> {
         match self {
             Self::Whole(whole) if whole.is_empty() => Ok(None),
             Self::Whole(whole) => Ok(Some(std::mem::take(whole))),
--- a/crates/forwarding/src/upstream/body.rs
+++ b/crates/forwarding/src/upstream/body.rs
@@ -9,7 +9,7 @@
 use super::connection::UpstreamConnection;
 use super::pool::UpstreamPool;
 use crate::inbound::Permit;
-use crate::message::BrokenAnswer;
+use crate::message::ResponseBodyError;
 
 /// The rest of an answer's body, and the slot of its request.
 #[derive(Debug)]
@@ -34,7 +34,7 @@
         self.permit = Some(permit);
     }
 
-    pub(crate) async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    pub(crate) async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseBodyError> {
         if let Some(first) = self.first.take() {
             return Ok(Some(first));
         }
@@ -44,7 +44,7 @@
         let Some(part) = read else {
             self.connection = None;
             self.permit = None;
-            return Err(BrokenAnswer);
+            return Err(ResponseBodyError);
         };
         if part.is_none() {
             self.finish();
