--- a/crates/forwarding/src/body.rs
+++ b/crates/forwarding/src/body.rs
@@ -15,10 +15,10 @@
 
 /// A request body that broke off or came too slowly.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenBody;
+pub struct RequestBodyError;
 
 /// One part of a body, or its end before its time.
-pub(crate) type BodyPart = Result<Bytes, BrokenBody>;
+pub(crate) type BodyPart = Result<Bytes, RequestBodyError>;
 
 /// Asks another node for the parts of a body.
 #[derive(Debug)]
--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -14,7 +14,7 @@
 use umberpond_net::{BoxStream, FrameReader, FrameWriter, Network};
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop, decode_fields};
-use crate::body::{BodyStream, BrokenBody, PendingBody};
+use crate::body::{BodyStream, PendingBody, RequestBodyError};
 use crate::message::{
     Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, ResponseBodyError,
 };
@@ -291,8 +291,8 @@
     }
 
     /// The next part of the stream. Safe to cancel.
-    async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenBody> {
-        let Some(stream) = &mut self.stream else { return Err(BrokenBody) };
+    async fn next_part(&mut self) -> Result<Option<Bytes>, RequestBodyError> {
+        let Some(stream) = &mut self.stream else { return Err(RequestBodyError) };
         stream.next().await.transpose()
     }
 
--- a/crates/forwarding/src/server/receive.rs
+++ b/crates/forwarding/src/server/receive.rs
@@ -9,7 +9,7 @@
 use umberpond_http1::{BodyDecoder, BodyError, Framing, MessageReader};
 use umberpond_quarantine::FINGERPRINTED_BYTES;
 
-use crate::body::{BodyPart, BrokenBody, PendingBody};
+use crate::body::{BodyPart, PendingBody, RequestBodyError};
 use crate::message::RequestBody;
 
 /// Longest body in bytes that is collected before the request is sent on; it can be sent again then, and its fingerprint is that of the whole.
@@ -84,7 +84,7 @@
             }
             Ok(None) => Some(true),
             Ok(Some(_)) | Err(_) => {
-                room.send(Err(BrokenBody));
+                room.send(Err(RequestBodyError));
                 Some(false)
             }
         }
