--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -210,7 +210,7 @@
     fn on_answer(&mut self, choice: &Choice, answer: Response) -> Next {
         let is_worth_repeating = matches!(answer.status, 500 | 502 | 503) && self.request.route.is_idempotent;
         if is_worth_repeating && self.may_reach_another() {
-            self.may_have_run = Some(UnknownReason::AnswerSpoiled);
+            self.may_have_run = Some(UnknownReason::InvalidResponse);
             self.tell_retry(choice, "failed-answer");
             self.failure = FailedAnswer::keep(&choice.node, answer);
             return Next::TryAgain;
--- a/crates/forwarding/src/outcome.rs
+++ b/crates/forwarding/src/outcome.rs
@@ -92,7 +92,7 @@
     /// The back end has ended while it ran the request.
     BackEndCrashed,
     /// What the back end sent is no answer to this request.
-    AnswerSpoiled,
+    InvalidResponse,
     /// The answer broke off.
     AnswerCut,
     /// The time was up before an answer came.
@@ -118,7 +118,7 @@
             Self::NodeLost => "node-lost",
             Self::BackEndClosed => "back-end-closed",
             Self::BackEndCrashed => "back-end-crashed",
-            Self::AnswerSpoiled => "answer-spoiled",
+            Self::InvalidResponse => "answer-spoiled",
             Self::AnswerCut => "answer-cut",
             Self::TimedOut => "timed-out",
             Self::Duplicate => "duplicate",
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -201,7 +201,7 @@
         if names_another && *surplus <= MAX_SURPLUS && pass_over(reader, head, method).await {
             return Ok(());
         }
-        Err(HeadFailure::Unknown(UnknownReason::AnswerSpoiled))
+        Err(HeadFailure::Unknown(UnknownReason::InvalidResponse))
     }
 
     /// Whether an answer belongs to the request called `id`. A back end that turns a request away need not name it.
@@ -227,7 +227,7 @@
         if let Some(load) = head.fields.text(self.dialect.load) {
             self.loads.on_load_field(load);
         }
-        let spoiled = Ok(ExchangeEnd::Unknown(UnknownReason::AnswerSpoiled));
+        let spoiled = Ok(ExchangeEnd::Unknown(UnknownReason::InvalidResponse));
         let Ok(framing) = response_framing(&head, request.method) else { return spoiled };
         let is_kept = connection.stays_open(&head.fields) && is_sent_whole && framing != Framing::UntilClose;
         if self.is_rejection(&head) {
@@ -307,7 +307,7 @@
     use umberpond_http1::HeadError;
     HeadFailure::Unknown(match error {
         HeadError::Truncated | HeadError::Transport(_) => UnknownReason::BackEndClosed,
-        HeadError::Malformed | HeadError::TooLarge | HeadError::TooSlow => UnknownReason::AnswerSpoiled,
+        HeadError::Malformed | HeadError::TooLarge | HeadError::TooSlow => UnknownReason::InvalidResponse,
     })
 }
 
