--- a/crates/forwarding/src/outcome.rs
+++ b/crates/forwarding/src/outcome.rs
@@ -94,7 +94,7 @@
     /// What the back end sent is no answer to this request.
     InvalidResponse,
     /// The answer broke off.
-    AnswerCut,
+    TruncatedResponse,
     /// The time was up before an answer came.
     TimedOut,
     /// A request with this identity was admitted before.
@@ -108,7 +108,7 @@
 impl UnknownReason {
     /// Whether the connection to the back end broke, which is also how its end shows.
     pub(crate) const fn is_broken_connection(self) -> bool {
-        matches!(self, Self::BackEndClosed | Self::AnswerCut)
+        matches!(self, Self::BackEndClosed | Self::TruncatedResponse)
     }
 
     /// The reason as one word, for logs, figures and callers.
@@ -119,7 +119,7 @@
             Self::BackEndClosed => "back-end-closed",
             Self::BackEndCrashed => "back-end-crashed",
             Self::InvalidResponse => "answer-spoiled",
-            Self::AnswerCut => "answer-cut",
+            Self::TruncatedResponse => "answer-cut",
             Self::TimedOut => "timed-out",
             Self::Duplicate => "duplicate",
             Self::RepeatedKey => "repeated-key",
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -243,7 +243,7 @@
         while collected.len() <= MAX_WHOLE_BODY {
             let part = match timeout_at(collect_until, connection.reader.body_part(&mut decoder)).await {
                 Ok(Ok(part)) => part,
-                Ok(Err(_broken)) => return Ok(ExchangeEnd::Unknown(UnknownReason::AnswerCut)),
+                Ok(Err(_broken)) => return Ok(ExchangeEnd::Unknown(UnknownReason::TruncatedResponse)),
                 Err(_elapsed) => break,
             };
             let Some(part) = part else {
