--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -134,7 +134,7 @@
         attempt: &Attempt,
         body: RequestBody,
     ) -> AttemptResult {
-        let lost = AttemptResult::Unknown(UnknownReason::NodeLost);
+        let lost = AttemptResult::Unknown(UnknownReason::NodeConnectionLost);
         let body = if attempt.is_far { on_demand(body) } else { body };
         let (first, is_sent_whole) = match body {
             RequestBody::Whole(whole) => {
--- a/crates/forwarding/src/outbound/attempts/observing.rs
+++ b/crates/forwarding/src/outbound/attempts/observing.rs
@@ -18,7 +18,7 @@
             AttemptResult::Answered(answer) => Observation::Answered(answer.load),
             AttemptResult::NotRun(not_run) => not_run_observation(not_run),
             AttemptResult::Unknown(UnknownReason::BodyBroken) => Observation::Abandoned,
-            AttemptResult::Unknown(UnknownReason::NodeLost | UnknownReason::BackEndCrashed) => {
+            AttemptResult::Unknown(UnknownReason::NodeConnectionLost | UnknownReason::BackEndCrashed) => {
                 Observation::Unreachable
             }
             AttemptResult::Unknown(_) => Observation::Failed,
--- a/crates/forwarding/src/outcome.rs
+++ b/crates/forwarding/src/outcome.rs
@@ -86,7 +86,7 @@
 #[error("{}", self.word())]
 pub enum UnknownReason {
     /// The connection to the node beside the back end broke.
-    NodeLost,
+    NodeConnectionLost,
     /// The connection to the back end broke before an answer.
     BackEndClosed,
     /// The back end has ended while it ran the request.
@@ -115,7 +115,7 @@
     #[must_use]
     pub const fn word(self) -> &'static str {
         match self {
-            Self::NodeLost => "node-lost",
+            Self::NodeConnectionLost => "node-lost",
             Self::BackEndClosed => "back-end-closed",
             Self::BackEndCrashed => "back-end-crashed",
             Self::InvalidResponse => "answer-spoiled",
