--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -77,7 +77,7 @@
         let Some(connection) = self.connection(address, deadline).await else {
             return AttemptResult::NotRun(NotRun::before_back_end(NotRunReason::NodeUnreachable));
         };
-        let body = std::mem::replace(&mut attempt.body, RequestBody::Spent);
+        let body = std::mem::replace(&mut attempt.body, RequestBody::Consumed);
         let exchange = self.exchange(address, connection, &attempt, body);
         // The other node keeps the same deadline and can say whether the request ran; its word is awaited a little.
         match timeout_at(deadline + LAST_WORD, exchange).await {
@@ -151,7 +151,7 @@
                 }
                 send_on_demand(&mut connection, &pending).await
             }
-            RequestBody::Spent => {
+            RequestBody::Consumed => {
                 return AttemptResult::NotRun(NotRun::before_back_end(NotRunReason::BodyBroken));
             }
         };
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -265,7 +265,7 @@
     async fn hand_over(&self, mut attempt: Attempt, target: &Target, turn: Turn) -> AttemptResult {
         let Turn { mut permit, place, waited } = turn;
         let Target { back_end, pool, watch } = target;
-        let body = std::mem::replace(&mut attempt.body, RequestBody::Spent);
+        let body = std::mem::replace(&mut attempt.body, RequestBody::Consumed);
         let fields = self.fields_for(&attempt, back_end);
         let request = ExchangeRequest {
             id: &attempt.id,
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -22,7 +22,7 @@
     /// A body that is still arriving; it can be sent once, by the first attempt that begins to.
     Pending(PendingBody),
     /// A body that was taken away.
-    Spent,
+    Consumed,
 }
 
 impl RequestBody {
@@ -32,7 +32,7 @@
         match self {
             Self::Whole(whole) => Some(Self::Whole(whole.clone())),
             Self::Pending(pending) if !pending.is_begun() => Some(Self::Pending(pending.clone())),
-            Self::Pending(_) | Self::Spent => None,
+            Self::Pending(_) | Self::Consumed => None,
         }
     }
 
@@ -41,7 +41,7 @@
         match self {
             Self::Whole(whole) => Some(whole.len() as u64),
             Self::Pending(pending) => pending.length(),
-            Self::Spent => None,
+            Self::Consumed => None,
         }
     }
 
@@ -50,7 +50,7 @@
         match self {
             Self::Whole(whole) => whole,
             Self::Pending(pending) => pending.beginning(),
-            Self::Spent => &[],
+            Self::Consumed => &[],
         }
     }
 
@@ -60,7 +60,7 @@
         match self {
             Self::Whole(_) => false,
             Self::Pending(pending) => pending.is_begun(),
-            Self::Spent => true,
+            Self::Consumed => true,
         }
     }
 }
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -38,7 +38,7 @@
         method: Bytes::from_static(b"GET"),
         target: Bytes::from_static(b"/"),
         fields: Fields::default(),
-        body: RequestBody::Spent,
+        body: RequestBody::Consumed,
         is_idempotent: true,
         route: ROUTE,
         priority: 1,
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -117,7 +117,7 @@
                 (self.own_answer(&mut connection, request).await?, is_sent_whole)
             }
             RequestBody::Pending(pending) => self.with_pending(&mut connection, request, &pending).await?,
-            RequestBody::Spent => return Ok(ExchangeEnd::NotSent(NotRunReason::BodyBroken)),
+            RequestBody::Consumed => return Ok(ExchangeEnd::NotSent(NotRunReason::BodyBroken)),
         };
         self.read_answer(connection, request, head, is_sent_whole).await
     }
