--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -135,7 +135,7 @@
         body: RequestBody,
     ) -> AttemptResult {
         let lost = AttemptResult::Unknown(UnknownReason::NodeConnectionLost);
-        let body = if attempt.is_far { on_demand(body) } else { body };
+        let body = if attempt.is_cross_zone { on_demand(body) } else { body };
         let (first, is_sent_whole) = match body {
             RequestBody::Whole(whole) => {
                 let open = OpenHop::of(attempt, HopBody::Whole(whole.to_vec()));
--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -174,7 +174,7 @@
             is_idempotent: self.is_idempotent,
             route: self.route,
             priority: self.priority,
-            is_far: false,
+            is_cross_zone: false,
             objective_at: now + Duration::from_micros(self.objective_left),
             deadline: now + Duration::from_micros(self.deadline_left),
             queue_deadline: now + Duration::from_micros(self.hold_left),
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -97,7 +97,7 @@
     /// Rank among the requests for the back end.
     pub priority: u8,
     /// Whether the node beside the back end is in another zone than the caller's.
-    pub is_far: bool,
+    pub is_cross_zone: bool,
     /// End of the time within which an answer is of full use.
     pub objective_at: Instant,
     /// End of the time within which an answer is of any use.
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -161,7 +161,7 @@
             is_idempotent: request.route.is_idempotent,
             route: request.route.number,
             priority: request.priority,
-            is_far: !choice.is_near,
+            is_cross_zone: !choice.is_near,
             objective_at: request.objective_at(),
             deadline: request.deadline(),
             max_queue_wait: request.max_queue_wait(choice.service),
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/repeats/tests.rs
@@ -42,7 +42,7 @@
         is_idempotent: true,
         route: ROUTE,
         priority: 1,
-        is_far: false,
+        is_cross_zone: false,
         objective_at: now,
         deadline: now + Duration::from_secs(2),
         queue_deadline: now,
