--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -207,7 +207,7 @@
             status: answer.status,
             fields: decode_fields(answer.fields),
             body,
-            served_in: Duration::from_micros(answer.served_in),
+            back_end_time: Duration::from_micros(answer.back_end_time),
             waited: Duration::from_micros(answer.waited),
             load: answer.load,
         })
--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -93,7 +93,7 @@
     pub(crate) fields: Vec<HopField>,
     pub(crate) body: HopBody,
     /// Microseconds in the back end.
-    pub(crate) served_in: u64,
+    pub(crate) back_end_time: u64,
     /// Microseconds in the queue.
     pub(crate) waited: u64,
     pub(crate) load: LoadReport,
@@ -194,7 +194,7 @@
             status: answer.status,
             fields: encode_fields(&answer.fields),
             body,
-            served_in: micros(answer.served_in),
+            back_end_time: micros(answer.back_end_time),
             waited: micros(answer.waited),
             load: answer.load,
         }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -293,11 +293,11 @@
                 fields.remove_connection_fields();
                 permit.on_answered();
                 self.admission.record_response(true);
-                let served_in = permit.elapsed();
-                self.answers.lock().record(attempt.route, status < FIRST_FAILURE, served_in);
+                let back_end_time = permit.elapsed();
+                self.answers.lock().record(attempt.route, status < FIRST_FAILURE, back_end_time);
                 let body = holding(body, permit);
                 let load = self.load();
-                AttemptResult::Answered(Response { status, fields, body, served_in, waited, load })
+                AttemptResult::Answered(Response { status, fields, body, back_end_time, waited, load })
             }
             ExchangeEnd::NotSent(reason) => {
                 run.end();
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -190,7 +190,7 @@
     /// Body.
     pub body: ResponseBody,
     /// Time between handing the request to the back end and its answer.
-    pub served_in: Duration,
+    pub back_end_time: Duration,
     /// Time the request waited for a slot.
     pub waited: Duration,
     /// Load of the back end.
--- a/crates/forwarding/src/outbound/attempts/observing.rs
+++ b/crates/forwarding/src/outbound/attempts/observing.rs
@@ -31,9 +31,9 @@
         let now = Instant::now().into_std();
         selector.on_ended(now, service, &choice.node, observation);
         if let AttemptResult::Answered(answer) = result {
-            let overhead = elapsed.saturating_sub(answer.served_in).saturating_sub(answer.waited);
+            let overhead = elapsed.saturating_sub(answer.back_end_time).saturating_sub(answer.waited);
             let route = &self.request.route.name;
-            let times = ResponseTimes { served: answer.served_in, overhead };
+            let times = ResponseTimes { served: answer.back_end_time, overhead };
             selector.on_response_times(now, service, route, &choice.node, times);
         }
     }
--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -31,7 +31,7 @@
             version: self.request.version,
             total_millis: millis(self.request.arrived.elapsed()),
             waited_millis: millis(answer.waited),
-            served_millis: millis(answer.served_in),
+            served_millis: millis(answer.back_end_time),
         });
         let served = Served {
             node,
--- a/crates/forwarding/src/outbound/expected_end.rs
+++ b/crates/forwarding/src/outbound/expected_end.rs
@@ -13,7 +13,7 @@
         return;
     }
     let work = choice.total.saturating_sub(choice.wait);
-    let by_work = answer.served_in.abs_diff(work);
+    let by_work = answer.back_end_time.abs_diff(work);
     let by_all = elapsed.abs_diff(choice.total);
     let cause = if by_work * 2 >= by_all { DelayCause::Work } else { DelayCause::Wait };
     metrics.answer_expected(cause, elapsed.as_secs_f64() / choice.total.as_secs_f64());
--- a/crates/forwarding/src/outbound/failed_answer.rs
+++ b/crates/forwarding/src/outbound/failed_answer.rs
@@ -18,7 +18,7 @@
     status: u16,
     fields: Fields,
     body: Bytes,
-    served_in: Duration,
+    back_end_time: Duration,
     waited: Duration,
     load: LoadReport,
 }
@@ -26,14 +26,14 @@
 impl FailedAnswer {
     /// Keeps `answer`; absent if its body has not come whole.
     pub(super) fn keep(node: &NodeName, answer: Response) -> Option<Self> {
-        let Response { status, fields, body, served_in, waited, load } = answer;
+        let Response { status, fields, body, back_end_time, waited, load } = answer;
         let ResponseBody::Whole(body) = body else { return None };
-        Some(Self { node: node.clone(), status, fields, body, served_in, waited, load })
+        Some(Self { node: node.clone(), status, fields, body, back_end_time, waited, load })
     }
 
     /// The answer as it came.
     pub(super) fn into_answer(self) -> Response {
-        let Self { node: _, status, fields, body, served_in, waited, load } = self;
-        Response { status, fields, body: ResponseBody::Whole(body), served_in, waited, load }
+        let Self { node: _, status, fields, body, back_end_time, waited, load } = self;
+        Response { status, fields, body: ResponseBody::Whole(body), back_end_time, waited, load }
     }
 }
