--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -10,7 +10,7 @@
 use tokio::task::JoinSet;
 use umberpond_distribution::ReaderSettings;
 use umberpond_forwarding::{
-    Dialect, Inbound, InboundSettings, Outbound, OutboundIdentity, OutboundSettings, QuotaGate,
+    HeaderProfile, Inbound, InboundSettings, Outbound, OutboundIdentity, OutboundSettings, QuotaGate,
     ServerControl, ServerPhase, serve_inbound, serve_outbound,
 };
 use umberpond_membership::{
@@ -57,7 +57,7 @@
     /// Where orders to evacuate zones come from; absent if there are none.
     pub evacuations: Option<Arc<dyn EvacuationStore>>,
     /// Names of the header fields.
-    pub dialect: Dialect,
+    pub dialect: HeaderProfile,
 }
 
 impl std::fmt::Debug for Extensions {
@@ -173,7 +173,7 @@
 fn start_outbound(
     config: &NodeConfig,
     environment: &Environment,
-    dialect: Dialect,
+    dialect: HeaderProfile,
     inbound: &Arc<Inbound>,
 ) -> Arc<Outbound> {
     let identity = OutboundIdentity {
--- a/crates/forwarding/src/dialect.rs
+++ b/crates/forwarding/src/dialect.rs
@@ -37,7 +37,7 @@
 
 /// Names of the header fields. Another platform has names of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Dialect {
+pub struct HeaderProfile {
     /// Identity of the request, given by the caller and passed on.
     pub request_id: &'static str,
     /// What stands between the identity of a request and the rest of that of a call which its run makes; absent if calls can't be
@@ -73,7 +73,7 @@
     pub marks: Option<CallerMarks>,
 }
 
-impl Dialect {
+impl HeaderProfile {
     /// The product's own names.
     pub const OWN: Self = Self {
         request_id: "umberpond-request-id",
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -21,7 +21,7 @@
 use super::suspect_lane::SuspectLane;
 use crate::calls::CallGate;
 use crate::clock::now;
-use crate::dialect::Dialect;
+use crate::dialect::HeaderProfile;
 use crate::quarantine::Quarantine;
 use crate::repeats::{ActiveRuns, RetryLedger};
 use crate::routing::TenantTable;
@@ -87,7 +87,7 @@
 
 /// The inbound half of one node.
 pub struct Inbound {
-    pub(super) dialect: Dialect,
+    pub(super) dialect: HeaderProfile,
     settings: InboundSettings,
     network: Arc<dyn Network>,
     pub(super) telemetry: Telemetry,
@@ -126,7 +126,7 @@
     /// The inbound half of a node whose back end is not known yet.
     #[must_use]
     pub fn new(
-        dialect: Dialect,
+        dialect: HeaderProfile,
         settings: InboundSettings,
         network: Arc<dyn Network>,
         telemetry: Telemetry,
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -25,7 +25,7 @@
 mod suspended_time;
 mod upstream;
 
-pub use dialect::{CallerMarks, Dialect, Marker};
+pub use dialect::{CallerMarks, HeaderProfile, Marker};
 pub use inbound::{BackEnd, Inbound, InboundSettings};
 pub use outbound::{Outbound, OutboundIdentity, OutboundSettings, StaleVersion};
 pub use outcome::{NotRunReason, UnknownReason};
--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -22,7 +22,7 @@
 use super::caller_times::CallerTimes;
 use super::reply::{Reply, ReplyReason};
 use crate::clock::now;
-use crate::dialect::Dialect;
+use crate::dialect::HeaderProfile;
 use crate::hop::{HopPool, HopPoolSettings};
 use crate::inbound::{Inbound, InboundAccess};
 use crate::quarantine::Quarantine;
@@ -69,7 +69,7 @@
 
 /// The outbound half of one node.
 pub struct Outbound {
-    pub(super) dialect: Dialect,
+    pub(super) dialect: HeaderProfile,
     pub(super) telemetry: Telemetry,
     pub(super) inbound: Arc<Inbound>,
     pub(super) node: NodeName,
@@ -113,7 +113,7 @@
     #[must_use]
     pub fn new(
         identity: OutboundIdentity,
-        dialect: Dialect,
+        dialect: HeaderProfile,
         settings: OutboundSettings,
         network: Arc<dyn Network>,
         telemetry: Telemetry,
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -92,7 +92,7 @@
 }
 
 impl ActiveRuns {
-    /// Without runs; `separator` as in [`crate::Dialect::call_separator`].
+    /// Without runs; `separator` as in [`crate::HeaderProfile::call_separator`].
     pub(crate) fn new(separator: Option<u8>) -> Self {
         Self { separator, state: Mutex::default() }
     }
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -17,7 +17,7 @@
 use super::load_field::LoadListener;
 use super::pool::UpstreamPool;
 use crate::body::{BodyStream, PendingBody};
-use crate::dialect::Dialect;
+use crate::dialect::HeaderProfile;
 use crate::message::{RequestBody, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 
@@ -60,7 +60,7 @@
 /// Runs exchanges over a pool.
 pub(crate) struct Exchanger<'a> {
     pub(crate) pool: &'a Arc<UpstreamPool>,
-    pub(crate) dialect: &'a Dialect,
+    pub(crate) dialect: &'a HeaderProfile,
     /// Told the load field of each answer, before the answer's body is read.
     pub(crate) loads: &'a dyn LoadListener,
 }
--- a/crates/forwarding/src/upstream/health.rs
+++ b/crates/forwarding/src/upstream/health.rs
@@ -10,7 +10,7 @@
 use umberpond_net::Network;
 
 use super::load_field::{SlowdownWord, told_slots, told_slowdown};
-use crate::dialect::Dialect;
+use crate::dialect::HeaderProfile;
 
 /// Longest time of the whole question.
 const QUESTION_TIME: Duration = Duration::from_millis(500);
@@ -33,14 +33,19 @@
 /// Asks the back end at `address`; absent if it does not say that it is well.
 pub(crate) async fn ask_health(
     network: &dyn Network,
-    dialect: &Dialect,
+    dialect: &HeaderProfile,
     address: SocketAddr,
     path: &str,
 ) -> Option<Health> {
     timeout(QUESTION_TIME, ask(network, dialect, address, path)).await.ok().flatten()
 }
 
-async fn ask(network: &dyn Network, dialect: &Dialect, address: SocketAddr, path: &str) -> Option<Health> {
+async fn ask(
+    network: &dyn Network,
+    dialect: &HeaderProfile,
+    address: SocketAddr,
+    path: &str,
+) -> Option<Health> {
     let stream = network.connect(address).await.ok()?;
     let (reader, mut writer) = tokio::io::split(stream);
     let mut reader = MessageReader::new(reader);
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -16,7 +16,7 @@
     Destination, Entry, RequestClass, RequestLimits, Route, RouteAccess, RoutePolicy, Service, Snapshot,
 };
 use umberpond_forwarding::{
-    BackEnd, Dialect, Inbound, InboundSettings, Marker, OpenedSecrets, Outbound, OutboundIdentity,
+    BackEnd, HeaderProfile, Inbound, InboundSettings, Marker, OpenedSecrets, Outbound, OutboundIdentity,
     OutboundSettings, RoutingTable, ServerControl, serve_inbound, serve_outbound,
 };
 use umberpond_model::{BackEndLife, Locality, Millis, ServiceName, Version};
@@ -29,7 +29,7 @@
 use caller::Caller;
 
 /// Names like those of a platform with signatures.
-pub const DIALECT: Dialect = Dialect {
+pub const DIALECT: HeaderProfile = HeaderProfile {
     request_id: "umberpond-request",
     call_separator: Some(b'.'),
     is_echoed: true,
--- a/crates/umberpond/src/cli/node.rs
+++ b/crates/umberpond/src/cli/node.rs
@@ -9,7 +9,7 @@
 use umberpond_daemon::{
     Daemon, Environment, Extensions, MachineClock, RunningDaemon, StartError, listen, serve_http,
 };
-use umberpond_forwarding::Dialect;
+use umberpond_forwarding::HeaderProfile;
 use umberpond_net::{Network, TcpNetwork};
 use umberpond_operator::admin::ADMIN_BODY_BYTES;
 use umberpond_operator::{AdminHandler, ChainSource, StoreDirectory, collect_now_and_then};
@@ -148,7 +148,7 @@
         rollouts: None,
         quarantine: None,
         evacuations: None,
-        dialect: Dialect::OWN,
+        dialect: HeaderProfile::OWN,
     };
     let admin = config.listen.admin;
     let daemon = Arc::new(Daemon::start(config, environment.clone(), extensions).await?);
--- a/testing/sim/src/cluster/process.rs
+++ b/testing/sim/src/cluster/process.rs
@@ -12,7 +12,7 @@
 use umberpond_daemon::{
     Daemon, Environment, Extensions, NoBootClock, RunningDaemon, StartError, listen, serve_http,
 };
-use umberpond_forwarding::Dialect;
+use umberpond_forwarding::HeaderProfile;
 use umberpond_model::Millis;
 use umberpond_net::Network;
 use umberpond_operator::admin::ADMIN_BODY_BYTES;
@@ -183,7 +183,7 @@
             rollouts: None,
             quarantine: None,
             evacuations: None,
-            dialect: Dialect::OWN,
+            dialect: HeaderProfile::OWN,
         };
         let daemon = Arc::new(Daemon::start(self.config(), environment.clone(), extensions).await?);
         let time_of_day =
