--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -57,12 +57,12 @@
     /// Where orders to evacuate zones come from; absent if there are none.
     pub evacuations: Option<Arc<dyn EvacuationStore>>,
     /// Names of the header fields.
-    pub dialect: HeaderProfile,
+    pub header_profile: HeaderProfile,
 }
 
 impl std::fmt::Debug for Extensions {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Extensions").field("dialect", &self.dialect).finish_non_exhaustive()
+        formatter.debug_struct("Extensions").field("dialect", &self.header_profile).finish_non_exhaustive()
     }
 }
 
@@ -89,7 +89,7 @@
         let listeners = Listeners::open(&config, &environment).await?;
         let own = own_record(&config, &environment, &listeners);
         let inbound = Arc::new(Inbound::new(
-            extensions.dialect,
+            extensions.header_profile,
             InboundSettings {
                 link_rate: config.link_rate,
                 keeps_slots_for_calls: config.keeps_slots_for_calls,
@@ -98,7 +98,7 @@
             Arc::clone(&environment.network),
             telemetry.clone(),
         ));
-        let outbound = start_outbound(&config, &environment, extensions.dialect, &inbound);
+        let outbound = start_outbound(&config, &environment, extensions.header_profile, &inbound);
         let activation =
             Arc::new(Activation::new(Arc::clone(&outbound), config.seal_key.clone(), telemetry.clone()));
         let introduction = Introduction {
@@ -173,7 +173,7 @@
 fn start_outbound(
     config: &NodeConfig,
     environment: &Environment,
-    dialect: HeaderProfile,
+    header_profile: HeaderProfile,
     inbound: &Arc<Inbound>,
 ) -> Arc<Outbound> {
     let identity = OutboundIdentity {
@@ -188,7 +188,7 @@
     let settings = OutboundSettings { selector, retry_budget, ..OutboundSettings::default() };
     Outbound::new(
         identity,
-        dialect,
+        header_profile,
         settings,
         Arc::clone(&environment.network),
         environment.telemetry.clone(),
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -21,7 +21,7 @@
 use super::suspect_lane::SuspectLane;
 use crate::calls::CallGate;
 use crate::clock::now;
-use crate::dialect::HeaderProfile;
+use crate::header_profile::HeaderProfile;
 use crate::quarantine::Quarantine;
 use crate::repeats::{ActiveRuns, RetryLedger};
 use crate::routing::TenantTable;
@@ -87,7 +87,7 @@
 
 /// The inbound half of one node.
 pub struct Inbound {
-    pub(super) dialect: HeaderProfile,
+    pub(super) header_profile: HeaderProfile,
     settings: InboundSettings,
     network: Arc<dyn Network>,
     pub(super) telemetry: Telemetry,
@@ -126,14 +126,14 @@
     /// The inbound half of a node whose back end is not known yet.
     #[must_use]
     pub fn new(
-        dialect: HeaderProfile,
+        header_profile: HeaderProfile,
         settings: InboundSettings,
         network: Arc<dyn Network>,
         telemetry: Telemetry,
     ) -> Self {
         let quarantine = Arc::new(Quarantine::new(telemetry.clone()));
         Self {
-            dialect,
+            header_profile,
             settings,
             network,
             telemetry,
@@ -147,7 +147,7 @@
             is_evacuated: AtomicBool::new(false),
             is_release_open: AtomicBool::new(true),
             answers: Mutex::default(),
-            runs: Arc::new(ActiveRuns::new(dialect.call_separator)),
+            runs: Arc::new(ActiveRuns::new(header_profile.call_separator)),
             calls: CallGate::default(),
             suspended: Arc::default(),
             suspect_lane: SuspectLane::new(Arc::clone(&quarantine)),
@@ -294,7 +294,7 @@
 
     /// Asks the back end at `address` whether it is well; absent if it does not say so.
     pub async fn ask_health(&self, address: SocketAddr, path: &str) -> Option<Health> {
-        let health = ask_health(&*self.network, &self.dialect, address, path).await?;
+        let health = ask_health(&*self.network, &self.header_profile, address, path).await?;
         if self.is_of_present(address, &health) {
             self.on_slowdown_word(health.slowdown);
         }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -274,7 +274,7 @@
             fields: &fields,
             deadline: attempt.deadline,
         };
-        let exchanger = Exchanger { pool, dialect: &self.dialect, loads: self };
+        let exchanger = Exchanger { pool, header_profile: &self.header_profile, loads: self };
         let run = self.runs.begin(&attempt);
         let key = attempt.request_key;
         let watched = watch.begin(attempt.id.clone(), key, place.is_some());
@@ -390,17 +390,17 @@
     fn fields_for(&self, attempt: &Attempt, back_end: &BackEnd) -> Fields {
         let mut fields = attempt.fields.clone();
         let left = attempt.deadline.saturating_duration_since(Instant::now());
-        fields.set(self.dialect.request_id, attempt.id.clone());
-        fields.set(self.dialect.deadline_millis, number(millis(left)));
-        fields.set(self.dialect.expected_instance, back_end.life.instance.clone().into_bytes());
-        fields.remove(self.dialect.tenant_key);
+        fields.set(self.header_profile.request_id, attempt.id.clone());
+        fields.set(self.header_profile.deadline_millis, number(millis(left)));
+        fields.set(self.header_profile.expected_instance, back_end.life.instance.clone().into_bytes());
+        fields.remove(self.header_profile.tenant_key);
         match &attempt.tenant {
             Some(tenant) => {
-                fields.set(self.dialect.tenant, Bytes::copy_from_slice(tenant.as_str().as_bytes()))
+                fields.set(self.header_profile.tenant, Bytes::copy_from_slice(tenant.as_str().as_bytes()))
             }
-            None => fields.remove(self.dialect.tenant),
+            None => fields.remove(self.header_profile.tenant),
         }
-        fields.set(self.dialect.caller, Bytes::copy_from_slice(attempt.caller.as_str().as_bytes()));
+        fields.set(self.header_profile.caller, Bytes::copy_from_slice(attempt.caller.as_str().as_bytes()));
         fields
     }
 }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -11,7 +11,7 @@
 mod body;
 mod calls;
 mod clock;
-mod dialect;
+mod header_profile;
 mod hop;
 mod inbound;
 mod message;
@@ -25,7 +25,7 @@
 mod suspended_time;
 mod upstream;
 
-pub use dialect::{CallerMarks, HeaderProfile, Marker};
+pub use header_profile::{CallerMarks, HeaderProfile, Marker};
 pub use inbound::{BackEnd, Inbound, InboundSettings};
 pub use outbound::{Outbound, OutboundIdentity, OutboundSettings, StaleVersion};
 pub use outcome::{NotRunReason, UnknownReason};
--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -38,7 +38,7 @@
             locality: self.outbound.locality_of(&self.request.service, node),
             version: self.request.version,
         };
-        Reply::of_answer(answer, self.outbound.dialect.marks.as_ref(), &served)
+        Reply::of_answer(answer, self.outbound.header_profile.marks.as_ref(), &served)
     }
 
     fn attempts(&self) -> u32 {
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -66,7 +66,7 @@
 
     /// The answer to a request that comes when the process is about to end.
     pub(crate) fn refuse_while_stopping(&self, head: &RequestHead) -> Reply {
-        let id = head.fields.get(self.dialect.request_id);
+        let id = head.fields.get(self.header_profile.request_id);
         self.refuse(id, ReplyReason::NotRun(NotRunReason::Stopping), Some(COME_BACK_AFTER_RESTART))
     }
 
@@ -76,7 +76,7 @@
         body: RequestBody,
         arrived: Instant,
     ) -> Result<PreparedRequest, Reply> {
-        let id = head.fields.get(self.dialect.request_id).cloned();
+        let id = head.fields.get(self.header_profile.request_id).cloned();
         let Some(table) = self.table.load_full() else {
             let reason = ReplyReason::NotRun(NotRunReason::NoConfiguration);
             let come_back = self.come_back_after_start(&head);
@@ -105,7 +105,7 @@
         let tells_tries = told.is_some() && run.is_none();
         let is_caller_retry = tells_tries && self.caller_times.lock().record(&route.name, caller_timeout);
         let version = table.version();
-        let key = self.dialect.caller_key.and_then(|name| head.fields.get(name)).cloned();
+        let key = self.header_profile.caller_key.and_then(|name| head.fields.get(name)).cloned();
         let fingerprint = RequestFingerprint::of(&RequestContent {
             method: &head.method,
             host,
@@ -176,7 +176,7 @@
         if tenants.is_empty() {
             return Ok(None);
         }
-        let mut keys = head.fields.get_all(self.dialect.tenant_key);
+        let mut keys = head.fields.get_all(self.header_profile.tenant_key);
         let key = keys.next();
         // Of two keys it is not known which one is meant.
         let found = if keys.next().is_some() {
@@ -193,7 +193,7 @@
 
     /// Time that the caller waits, by its own word.
     fn told_time(&self, head: &RequestHead) -> Option<Duration> {
-        let millis = head.fields.text(self.dialect.deadline_millis)?.parse().ok()?;
+        let millis = head.fields.text(self.header_profile.deadline_millis)?.parse().ok()?;
         Some(Duration::from_millis(millis))
     }
 
@@ -206,7 +206,7 @@
     /// The head as every attempt sends it.
     fn passed_on(&self, mut head: RequestHead, route: &CompiledRoute) -> RequestHead {
         head.fields.remove_connection_fields();
-        for reserved in self.dialect.reserved() {
+        for reserved in self.header_profile.reserved() {
             head.fields.remove(reserved);
         }
         for (name, value) in &route.credentials {
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -6,7 +6,7 @@
 use umberpond_http1::Fields;
 use umberpond_model::{Locality, NodeName, Version};
 
-use crate::dialect::CallerMarks;
+use crate::header_profile::CallerMarks;
 use crate::message::{Response, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::routing::NoTenant;
--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -22,7 +22,7 @@
 use super::caller_times::CallerTimes;
 use super::reply::{Reply, ReplyReason};
 use crate::clock::now;
-use crate::dialect::HeaderProfile;
+use crate::header_profile::HeaderProfile;
 use crate::hop::{HopPool, HopPoolSettings};
 use crate::inbound::{Inbound, InboundAccess};
 use crate::quarantine::Quarantine;
@@ -69,7 +69,7 @@
 
 /// The outbound half of one node.
 pub struct Outbound {
-    pub(super) dialect: HeaderProfile,
+    pub(super) header_profile: HeaderProfile,
     pub(super) telemetry: Telemetry,
     pub(super) inbound: Arc<Inbound>,
     pub(super) node: NodeName,
@@ -113,7 +113,7 @@
     #[must_use]
     pub fn new(
         identity: OutboundIdentity,
-        dialect: HeaderProfile,
+        header_profile: HeaderProfile,
         settings: OutboundSettings,
         network: Arc<dyn Network>,
         telemetry: Telemetry,
@@ -127,7 +127,7 @@
         let ledger = Arc::new(RetryLedger::new(settings.retry_budget, telemetry.clone()));
         inbound.set_ledger(Arc::clone(&ledger));
         Arc::new(Self {
-            dialect,
+            header_profile,
             ledger,
             // The seed is drawn anew for each process, so it tells their reports apart.
             quotas: QuotaGate::new(Box::new(PooledShares::new(identity.seed))),
@@ -304,9 +304,9 @@
         id: Option<&Bytes>,
     ) -> Reply {
         self.telemetry.metrics().request(reason.outcome(), RequestDetail::Reason(reason.word()));
-        let mut reply = Reply::own(reason, retry_after, self.dialect.marks.as_ref());
+        let mut reply = Reply::own(reason, retry_after, self.header_profile.marks.as_ref());
         if let Some(id) = id {
-            reply.fields.set(self.dialect.request_id, id.clone());
+            reply.fields.set(self.header_profile.request_id, id.clone());
         }
         reply
     }
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -17,7 +17,7 @@
 use super::load_field::LoadListener;
 use super::pool::UpstreamPool;
 use crate::body::{BodyStream, PendingBody};
-use crate::dialect::HeaderProfile;
+use crate::header_profile::HeaderProfile;
 use crate::message::{RequestBody, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 
@@ -60,7 +60,7 @@
 /// Runs exchanges over a pool.
 pub(crate) struct Exchanger<'a> {
     pub(crate) pool: &'a Arc<UpstreamPool>,
-    pub(crate) dialect: &'a HeaderProfile,
+    pub(crate) header_profile: &'a HeaderProfile,
     /// Told the load field of each answer, before the answer's body is read.
     pub(crate) loads: &'a dyn LoadListener,
 }
@@ -197,7 +197,7 @@
         surplus: &mut u32,
     ) -> Result<(), HeadFailure> {
         *surplus += 1;
-        let names_another = head.fields.get(self.dialect.request_id).is_some();
+        let names_another = head.fields.get(self.header_profile.request_id).is_some();
         if names_another && *surplus <= MAX_SURPLUS && pass_over(reader, head, method).await {
             return Ok(());
         }
@@ -206,15 +206,15 @@
 
     /// Whether an answer belongs to the request called `id`. A back end that turns a request away need not name it.
     fn is_own(&self, head: &ResponseHead, id: &[u8]) -> bool {
-        match head.fields.get(self.dialect.request_id) {
+        match head.fields.get(self.header_profile.request_id) {
             Some(echoed) => echoed == id,
-            None => !self.dialect.is_echoed || self.is_rejection(head),
+            None => !self.header_profile.is_echoed || self.is_rejection(head),
         }
     }
 
     /// Whether the back end says that it did not run the request.
     fn is_rejection(&self, head: &ResponseHead) -> bool {
-        self.dialect.not_executed.is_in(&head.fields) || head.status == MISDIRECTED
+        self.header_profile.not_executed.is_in(&head.fields) || head.status == MISDIRECTED
     }
 
     async fn read_answer(
@@ -224,7 +224,7 @@
         head: ResponseHead,
         is_sent_whole: bool,
     ) -> Result<ExchangeEnd, HeadFailure> {
-        if let Some(load) = head.fields.text(self.dialect.load) {
+        if let Some(load) = head.fields.text(self.header_profile.load) {
             self.loads.on_load_field(load);
         }
         let spoiled = Ok(ExchangeEnd::Unknown(UnknownReason::InvalidResponse));
@@ -278,7 +278,7 @@
     /// Whether a success carries the back end's proof, and no encoding that nobody asked for.
     fn is_trusted(&self, head: &ResponseHead) -> bool {
         let is_success = (200..300).contains(&head.status);
-        let is_signed = self.dialect.signature.is_none_or(|name| head.fields.contains(name));
+        let is_signed = self.header_profile.signature.is_none_or(|name| head.fields.contains(name));
         !is_success || (is_signed && !head.fields.contains("content-encoding"))
     }
 
--- a/crates/forwarding/src/upstream/health.rs
+++ b/crates/forwarding/src/upstream/health.rs
@@ -10,7 +10,7 @@
 use umberpond_net::Network;
 
 use super::load_field::{SlowdownWord, told_slots, told_slowdown};
-use crate::dialect::HeaderProfile;
+use crate::header_profile::HeaderProfile;
 
 /// Longest time of the whole question.
 const QUESTION_TIME: Duration = Duration::from_millis(500);
@@ -33,16 +33,16 @@
 /// Asks the back end at `address`; absent if it does not say that it is well.
 pub(crate) async fn ask_health(
     network: &dyn Network,
-    dialect: &HeaderProfile,
+    header_profile: &HeaderProfile,
     address: SocketAddr,
     path: &str,
 ) -> Option<Health> {
-    timeout(QUESTION_TIME, ask(network, dialect, address, path)).await.ok().flatten()
+    timeout(QUESTION_TIME, ask(network, header_profile, address, path)).await.ok().flatten()
 }
 
 async fn ask(
     network: &dyn Network,
-    dialect: &HeaderProfile,
+    header_profile: &HeaderProfile,
     address: SocketAddr,
     path: &str,
 ) -> Option<Health> {
@@ -56,11 +56,11 @@
     write_request_head(&mut question, b"GET", path.as_bytes(), &fields, Framing::Length(0));
     writer.write_all(&question).await.ok()?;
     let head = reader.response_head(MAX_HEAD_BYTES).await.ok()?;
-    let instance = head.fields.text(dialect.instance).map(str::to_owned);
-    let load = head.fields.text(dialect.load);
+    let instance = head.fields.text(header_profile.instance).map(str::to_owned);
+    let load = head.fields.text(header_profile.load);
     let slots = load.and_then(told_slots);
     let slowdown = load.map_or(SlowdownWord::Untold, told_slowdown);
-    let cold_for = dialect.cold_millis.and_then(|name| head.fields.text(name)).and_then(told_millis);
+    let cold_for = header_profile.cold_millis.and_then(|name| head.fields.text(name)).and_then(told_millis);
     let cold_for = cold_for.unwrap_or_default();
     (head.status == 200).then_some(Health { instance, slots, cold_for, slowdown })
 }
--- a/crates/umberpond/src/cli/node.rs
+++ b/crates/umberpond/src/cli/node.rs
@@ -148,7 +148,7 @@
         rollouts: None,
         quarantine: None,
         evacuations: None,
-        dialect: HeaderProfile::OWN,
+        header_profile: HeaderProfile::OWN,
     };
     let admin = config.listen.admin;
     let daemon = Arc::new(Daemon::start(config, environment.clone(), extensions).await?);
