--- a/crates/forwarding/src/header_profile.rs
+++ b/crates/forwarding/src/header_profile.rs
@@ -4,14 +4,14 @@
 
 /// A header field that says something by being there, or by its value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Marker {
+pub struct HeaderMatcher {
     /// Name of the field.
     pub name: &'static str,
     /// The value that says it; any if absent.
     pub value: Option<&'static str>,
 }
 
-impl Marker {
+impl HeaderMatcher {
     /// Whether `fields` say it.
     #[must_use]
     pub fn is_in(&self, fields: &Fields) -> bool {
@@ -61,7 +61,7 @@
     /// Life of the back end that answers.
     pub instance: &'static str,
     /// Says that the back end did not run the request.
-    pub not_executed: Marker,
+    pub not_executed: HeaderMatcher,
     /// Load of the back end as `running,waiting,slots`, and a fourth value if it tells its slowdown: how long work takes there at this moment, in hundredths of the
     /// usual time.
     pub load: &'static str,
@@ -86,7 +86,7 @@
         tenant: "umberpond-tenant",
         expected_instance: "umberpond-meant-instance",
         instance: "umberpond-instance",
-        not_executed: Marker { name: "umberpond-outcome", value: Some("rejected") },
+        not_executed: HeaderMatcher { name: "umberpond-outcome", value: Some("rejected") },
         load: "umberpond-load",
         cold_millis: Some("umberpond-cold-millis"),
         signature: None,
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -25,7 +25,7 @@
 mod suspended_time;
 mod upstream;
 
-pub use header_profile::{CallerMarks, HeaderProfile, Marker};
+pub use header_profile::{CallerMarks, HeaderMatcher, HeaderProfile};
 pub use inbound::{BackEnd, Inbound, InboundSettings};
 pub use outbound::{Outbound, OutboundIdentity, OutboundSettings, StaleVersion};
 pub use outcome::{NotRunReason, UnknownReason};
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -16,8 +16,8 @@
     Destination, Entry, RequestClass, RequestLimits, Route, RouteAccess, RoutePolicy, Service, Snapshot,
 };
 use umberpond_forwarding::{
-    BackEnd, HeaderProfile, Inbound, InboundSettings, Marker, OpenedSecrets, Outbound, OutboundIdentity,
-    OutboundSettings, RoutingTable, ServerControl, serve_inbound, serve_outbound,
+    BackEnd, HeaderMatcher, HeaderProfile, Inbound, InboundSettings, OpenedSecrets, Outbound,
+    OutboundIdentity, OutboundSettings, RoutingTable, ServerControl, serve_inbound, serve_outbound,
 };
 use umberpond_model::{BackEndLife, Locality, Millis, ServiceName, Version};
 use umberpond_net::Network;
@@ -40,7 +40,7 @@
     tenant: "x-tenant",
     expected_instance: "umberpond-meant-instance",
     instance: "umberpond-serving-instance",
-    not_executed: Marker { name: "umberpond-rejected", value: None },
+    not_executed: HeaderMatcher { name: "umberpond-rejected", value: None },
     load: "umberpond-load",
     cold_millis: Some("umberpond-cold"),
     signature: Some("x-proof"),
