--- a/crates/forwarding/src/header_profile.rs
+++ b/crates/forwarding/src/header_profile.rs
@@ -22,7 +22,7 @@
 
 /// What every answer tells its caller beside the back end's own words.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerMarks {
+pub struct ResponseHeaders {
     /// What is known about the request: `answered`, `rejected` or `unknown`.
     pub outcome: &'static str,
     /// Why a node answered by itself, as one word.
@@ -70,7 +70,7 @@
     /// Proof that the body is the back end's own; absent if back ends don't sign.
     pub signature: Option<&'static str>,
     /// What every answer tells its caller; absent if callers know no such fields.
-    pub marks: Option<CallerMarks>,
+    pub marks: Option<ResponseHeaders>,
 }
 
 impl HeaderProfile {
@@ -90,7 +90,7 @@
         load: "umberpond-load",
         cold_millis: Some("umberpond-cold-millis"),
         signature: None,
-        marks: Some(CallerMarks {
+        marks: Some(ResponseHeaders {
             outcome: "umberpond-outcome",
             reason: "umberpond-reason",
             served_by: "umberpond-served-by",
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -25,7 +25,7 @@
 mod suspended_time;
 mod upstream;
 
-pub use header_profile::{CallerMarks, HeaderMatcher, HeaderProfile};
+pub use header_profile::{HeaderMatcher, HeaderProfile, ResponseHeaders};
 pub use inbound::{BackEnd, Inbound, InboundSettings};
 pub use outbound::{Outbound, OutboundIdentity, OutboundSettings, StaleVersion};
 pub use outcome::{NotRunReason, UnknownReason};
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -6,7 +6,7 @@
 use umberpond_http1::Fields;
 use umberpond_model::{Locality, NodeName, Version};
 
-use crate::header_profile::CallerMarks;
+use crate::header_profile::ResponseHeaders;
 use crate::message::{Response, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::routing::NoTenant;
@@ -95,7 +95,7 @@
     pub(crate) fn own(
         reason: ReplyReason,
         retry_after: Option<Duration>,
-        marks: Option<&CallerMarks>,
+        marks: Option<&ResponseHeaders>,
     ) -> Self {
         let word = reason.word();
         let mut fields = Fields::default();
@@ -112,7 +112,7 @@
     }
 
     /// The answer of a back end, which `node` at `locality` served.
-    pub(crate) fn of_answer(answer: Response, marks: Option<&CallerMarks>, served: &Served<'_>) -> Self {
+    pub(crate) fn of_answer(answer: Response, marks: Option<&ResponseHeaders>, served: &Served<'_>) -> Self {
         let mut fields = answer.fields;
         if let Some(marks) = marks {
             fields.set(marks.outcome, "answered");
