--- a/crates/forwarding/src/header_profile.rs
+++ b/crates/forwarding/src/header_profile.rs
@@ -44,7 +44,7 @@
     /// told from other requests. The calls of a repeated run count as repeats of the called service.
     pub call_separator: Option<u8>,
     /// Whether back ends repeat it in their answers, so that an answer without it is none.
-    pub is_echoed: bool,
+    pub echoes_request_id: bool,
     /// The caller's own key, under which a request must run once even if the caller repeats it; absent if callers
     /// have none.
     pub caller_key: Option<&'static str>,
@@ -78,7 +78,7 @@
     pub const OWN: Self = Self {
         request_id: "umberpond-request-id",
         call_separator: Some(b'.'),
-        is_echoed: false,
+        echoes_request_id: false,
         caller_key: Some("idempotency-key"),
         deadline_millis: "umberpond-deadline",
         caller: "umberpond-caller",
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -208,7 +208,7 @@
     fn is_own(&self, head: &ResponseHead, id: &[u8]) -> bool {
         match head.fields.get(self.header_profile.request_id) {
             Some(echoed) => echoed == id,
-            None => !self.header_profile.is_echoed || self.is_rejection(head),
+            None => !self.header_profile.echoes_request_id || self.is_rejection(head),
         }
     }
 
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -32,7 +32,7 @@
 pub const DIALECT: HeaderProfile = HeaderProfile {
     request_id: "umberpond-request",
     call_separator: Some(b'.'),
-    is_echoed: true,
+    echoes_request_id: true,
     caller_key: Some("x-key"),
     deadline_millis: "umberpond-deadline",
     caller: "umberpond-caller-service",
