--- a/crates/forwarding/src/header_profile.rs
+++ b/crates/forwarding/src/header_profile.rs
@@ -66,7 +66,7 @@
     /// usual time.
     pub load: &'static str,
     /// How much longer a back end is cold, in whole milliseconds, in its health answers; absent if back ends don't tell.
-    pub cold_millis: Option<&'static str>,
+    pub warmup_millis: Option<&'static str>,
     /// Proof that the body is the back end's own; absent if back ends don't sign.
     pub signature: Option<&'static str>,
     /// What every answer tells its caller; absent if callers know no such fields.
@@ -88,7 +88,7 @@
         instance: "umberpond-instance",
         not_executed: HeaderMatcher { name: "umberpond-outcome", value: Some("rejected") },
         load: "umberpond-load",
-        cold_millis: Some("umberpond-cold-millis"),
+        warmup_millis: Some("umberpond-cold-millis"),
         signature: None,
         marks: Some(ResponseHeaders {
             outcome: "umberpond-outcome",
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -42,7 +42,7 @@
     instance: "umberpond-serving-instance",
     not_executed: HeaderMatcher { name: "umberpond-rejected", value: None },
     load: "umberpond-load",
-    cold_millis: Some("umberpond-cold"),
+    warmup_millis: Some("umberpond-cold"),
     signature: Some("x-proof"),
     marks: None,
 };
