--- a/crates/daemon/src/quarantine/task.rs
+++ b/crates/daemon/src/quarantine/task.rs
@@ -26,7 +26,7 @@
 /// Tells the other nodes what is found here, without end.
 pub(crate) async fn tell_news(quarantine: Arc<Quarantine>, membership: ActorRef<MembershipMessage>) {
     loop {
-        let records = quarantine.take_news().await;
+        let records = quarantine.take_updates().await;
         if membership.send_message(MembershipMessage::TellSuspects(records)).is_err() {
             return;
         }
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! The requests under suspicion of ending back ends, as this node knows them.
 //!
 //! The node beside a back end finds its end and what ran there, and blames; what a back end answers without a failure is cleared. What is found here is told to the other nodes by
-//! whoever takes it from [`Quarantine::take_news`], and what they tell is joined. Both halves of the request path ask how a request stands.
+//! whoever takes it from [`Quarantine::take_updates`], and what they tell is joined. Both halves of the request path ask how a request stands.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -117,7 +117,7 @@
     }
 
     /// Waits for something that was found here, and takes it. Safe to cancel.
-    pub async fn take_news(&self) -> Vec<SuspectRecord> {
+    pub async fn take_updates(&self) -> Vec<SuspectRecord> {
         loop {
             let news = std::mem::take(&mut *self.news.lock());
             if !news.is_empty() {
