--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -18,7 +18,7 @@
 use crate::clock::now;
 use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, id_text};
 use crate::outcome::{NotRunReason, UnknownReason};
-use crate::suspended_time::PastMoment;
+use crate::suspended_time::SuspendAwareInstant;
 use crate::upstream::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED, UpstreamPool};
 
 /// Lowest status of an answer that is a failure of the back end.
@@ -80,7 +80,7 @@
     async fn wait_for_turn(&self, attempt: &mut Attempt, target: &Target) -> Result<Turn, Barred> {
         self.check_calls(attempt)?;
         self.check_room_for_calls(attempt)?;
-        let arrived = PastMoment::new(Instant::now(), &self.suspended);
+        let arrived = SuspendAwareInstant::new(Instant::now(), &self.suspended);
         let waits_until = attempt.queue_deadline.min(attempt.deadline);
         let slots = target.back_end.slots;
         let place = self.suspect_lane.enter(&target.watch, &attempt.request_key, slots, waits_until).await?;
@@ -98,7 +98,7 @@
         attempt: &mut Attempt,
         target: &Target,
         place: Option<SuspectPlace>,
-        arrived: &PastMoment,
+        arrived: &SuspendAwareInstant,
     ) -> Result<Turn, NotRun> {
         let admitted = self.admit(attempt).await;
         let permit = admitted.map_err(|refusal| {
@@ -448,7 +448,7 @@
 }
 
 /// Counts what the machine was suspended since `arrived` as time that has passed for the request.
-fn count_suspension(attempt: &mut Attempt, arrived: &PastMoment) -> Result<(), NotRun> {
+fn count_suspension(attempt: &mut Attempt, arrived: &SuspendAwareInstant) -> Result<(), NotRun> {
     let suspended = arrived.suspended_since();
     if suspended.is_zero() {
         return Ok(());
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -24,7 +24,7 @@
 use crate::quotas::OverQuota;
 use crate::routing::{CompiledRoute, NoTenant, RoutingTable};
 use crate::server::ServerControl;
-use crate::suspended_time::PastMoment;
+use crate::suspended_time::SuspendAwareInstant;
 
 /// Most of the time that a caller waits which counts when it finds no configuration. It comes back within a second then: a process that has
 /// just started gets its configuration within about that time over a slow link, and a caller has two or three tries only.
@@ -126,7 +126,7 @@
             route,
             service,
             version,
-            arrived: PastMoment::new(arrived, self.inbound.suspended()),
+            arrived: SuspendAwareInstant::new(arrived, self.inbound.suspended()),
             time,
             caller_timeout,
             is_caller_retry,
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -15,7 +15,7 @@
 use crate::quotas::QuotaPermit;
 use crate::repeats::{CallOrigin, RunContext};
 use crate::routing::CompiledRoute;
-use crate::suspended_time::PastMoment;
+use crate::suspended_time::SuspendAwareInstant;
 
 /// A request with its route.
 #[derive(Debug)]
@@ -39,7 +39,7 @@
     pub(super) priority: u8,
     /// Version of the configuration by which the route was found.
     pub(super) version: Version,
-    pub(super) arrived: PastMoment,
+    pub(super) arrived: SuspendAwareInstant,
     /// Longest time from the arrival to the answer.
     pub(super) time: Duration,
     /// Time that the caller waits, by its own word, or else that of the route.
--- a/crates/forwarding/src/suspended_time.rs
+++ b/crates/forwarding/src/suspended_time.rs
@@ -25,13 +25,13 @@
 
 /// When something happened, such that what was suspended since counts as passed. Without it a request that waited through a suspension is handed on long after its caller has left.
 #[derive(Debug, Clone)]
-pub(crate) struct PastMoment {
+pub(crate) struct SuspendAwareInstant {
     at: Instant,
     suspended: Arc<SuspendedTime>,
     suspended_before: Duration,
 }
 
-impl PastMoment {
+impl SuspendAwareInstant {
     /// The moment `at`, a moment ago.
     pub(crate) fn new(at: Instant, suspended: &Arc<SuspendedTime>) -> Self {
         Self { at, suspended: Arc::clone(suspended), suspended_before: suspended.total() }
