--- a/crates/forwarding/src/body.rs
+++ b/crates/forwarding/src/body.rs
@@ -3,7 +3,7 @@
 //! Such a body lies where it is until an attempt *begins* it, which is when its request has a slot and the back end has
 //! been given the head. A request that is refused before that can go to another back end, and none of its body has crossed
 //! a link in vain. From a caller beside this node the body comes as fast as it is taken; from another node it comes in
-//! answer to [`BodyDemand`]: never more than one window lies on the link or in memory.
+//! answer to [`BodyFlowControl`]: never more than one window lies on the link or in memory.
 
 use std::sync::Arc;
 
@@ -22,7 +22,7 @@
 
 /// Asks another node for the parts of a body.
 #[derive(Debug)]
-pub(crate) struct BodyDemand {
+pub(crate) struct BodyFlowControl {
     /// Bytes that the other node may send from now on, on top of what it was allowed before.
     granted: mpsc::UnboundedSender<u32>,
     /// Most bytes that are allowed and have not been taken.
@@ -32,7 +32,7 @@
     is_begun: bool,
 }
 
-impl BodyDemand {
+impl BodyFlowControl {
     /// A demand that keeps up to `window` bytes on their way, told over `granted`.
     pub(crate) const fn new(granted: mpsc::UnboundedSender<u32>, window: u32) -> Self {
         Self { granted, window, taken: 0, is_begun: false }
@@ -65,7 +65,7 @@
 #[derive(Debug)]
 pub struct BodyStream {
     parts: mpsc::Receiver<BodyPart>,
-    demand: Option<BodyDemand>,
+    demand: Option<BodyFlowControl>,
     /// The turn on this node's link, given back when nothing more comes.
     turn: Option<Permit>,
 }
@@ -111,7 +111,7 @@
     pub(crate) fn from_node(
         length: Option<u64>,
         parts: mpsc::Receiver<BodyPart>,
-        demand: BodyDemand,
+        demand: BodyFlowControl,
     ) -> Self {
         Self::new(length, Bytes::new(), parts, Some(demand))
     }
@@ -120,7 +120,7 @@
         length: Option<u64>,
         beginning: Bytes,
         parts: mpsc::Receiver<BodyPart>,
-        demand: Option<BodyDemand>,
+        demand: Option<BodyFlowControl>,
     ) -> Self {
         let crosses_link = demand.is_some();
         let stream = BodyStream { parts, demand, turn: None };
--- a/crates/forwarding/src/hop/server.rs
+++ b/crates/forwarding/src/hop/server.rs
@@ -8,7 +8,7 @@
 use umberpond_net::{BoxStream, FrameReader, FrameWriter};
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop};
-use crate::body::{BodyDemand, BodyPart, PendingBody};
+use crate::body::{BodyFlowControl, BodyPart, PendingBody};
 use crate::inbound::Inbound;
 use crate::message::{AttemptResult, RequestBody, Response, ResponseBody};
 
@@ -53,7 +53,7 @@
         HopBody::Parts(length) => {
             let (granted, mut grants) = mpsc::unbounded_channel();
             let (sender, parts) = mpsc::channel(BODY_PARTS);
-            let demand = BodyDemand::new(granted, inbound.body_window());
+            let demand = BodyFlowControl::new(granted, inbound.body_window());
             let pending = PendingBody::from_node(length, parts, demand);
             let serving = inbound.serve(open.into_attempt(RequestBody::Pending(pending)));
             tokio::pin!(serving);
