--- a/crates/forwarding/src/body.rs
+++ b/crates/forwarding/src/body.rs
@@ -92,7 +92,7 @@
     length: Option<u64>,
     /// The part that was there before the request was sent on; empty if the body comes from another node.
     beginning: Bytes,
-    crosses_link: bool,
+    is_from_node: bool,
     stream: Arc<Mutex<Option<BodyStream>>>,
 }
 
@@ -122,9 +122,9 @@
         parts: mpsc::Receiver<BodyPart>,
         demand: Option<BodyFlowControl>,
     ) -> Self {
-        let crosses_link = demand.is_some();
+        let is_from_node = demand.is_some();
         let stream = BodyStream { parts, demand, turn: None };
-        Self { length, beginning, crosses_link, stream: Arc::new(Mutex::new(Some(stream))) }
+        Self { length, beginning, is_from_node, stream: Arc::new(Mutex::new(Some(stream))) }
     }
 
     /// The part that was there before the request was sent on; empty if the body comes from another node.
@@ -138,8 +138,8 @@
     }
 
     /// Whether the body comes from another node.
-    pub(crate) const fn crosses_link(&self) -> bool {
-        self.crosses_link
+    pub(crate) const fn is_from_node(&self) -> bool {
+        self.is_from_node
     }
 
     /// Takes the body; absent if an attempt has begun it before.
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -170,7 +170,7 @@
     /// slot meanwhile.
     async fn admit(&self, attempt: &mut Attempt) -> Result<Permit, Refusal> {
         let pending = match &attempt.body {
-            RequestBody::Pending(pending) if pending.crosses_link() => Some(pending.clone()),
+            RequestBody::Pending(pending) if pending.is_from_node() => Some(pending.clone()),
             _ => None,
         };
         if let Some(pending) = pending {
