--- a/crates/forwarding/src/body.rs
+++ b/crates/forwarding/src/body.rs
@@ -153,7 +153,7 @@
     }
 
     /// Holds `turn` until the body has come to its end.
-    pub(crate) fn hold_turn(&self, turn: Permit) {
+    pub(crate) fn hold_permit(&self, turn: Permit) {
         if let Some(stream) = &mut *self.stream.lock() {
             stream.turn = Some(turn);
         }
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -178,7 +178,7 @@
             let turn = self.link.turn(work_item(attempt), pending.length()).await?;
             attempt.max_queue_wait = attempt.max_queue_wait.saturating_sub(began.elapsed());
             if let Some(turn) = turn {
-                pending.hold_turn(turn);
+                pending.hold_permit(turn);
             }
         }
         let item = work_item(attempt);
