--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -401,7 +401,7 @@
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
         inbound.close_expired();
-        inbound.tell_shares();
+        inbound.report_tenant_shares();
         outbound.close_expired();
     }
 }
--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -17,7 +17,7 @@
 
 impl Inbound {
     /// Tells operators how tenants share the slots, if any had to wait of late.
-    pub fn tell_shares(&self) {
+    pub fn report_tenant_shares(&self) {
         let standings = self.admission.standings(GREATEST_TENANTS);
         let uses: Vec<u16> = standings.greatest.iter().map(|standing| standing.use_permille).collect();
         self.telemetry.metrics().set_tenant_uses(standings.count, &uses);
