--- a/crates/daemon/src/back_end/check.rs
+++ b/crates/daemon/src/back_end/check.rs
@@ -39,7 +39,7 @@
     loop {
         ticks.tick().await;
         let path = monitor.health_path(&settings.service).unwrap_or_else(|| DEFAULT_PATH.to_owned());
-        let Some(health) = monitor.inbound().ask_health(settings.address, &path).await else {
+        let Some(health) = monitor.inbound().probe_health(settings.address, &path).await else {
             failures += 1;
             if failures == settings.failures {
                 monitor.unreachable(&BackEndLife::of(&instance));
--- a/crates/daemon/src/back_end/monitor.rs
+++ b/crates/daemon/src/back_end/monitor.rs
@@ -172,7 +172,7 @@
     async fn confirm_later(self: Arc<Self>, back_end: BackEnd) {
         for _question in 0..CONFIRM_QUESTIONS {
             if let Some(path) = self.health_path(&back_end.service) {
-                let health = self.inbound.ask_health(back_end.address, &path).await;
+                let health = self.inbound.probe_health(back_end.address, &path).await;
                 match health.and_then(|health| health.instance.map(|instance| (instance, health.cold_for))) {
                     Some((instance, cold_for)) if instance == back_end.life.instance => {
                         let life = back_end.life.clone();
--- a/crates/daemon/src/back_end/probe.rs
+++ b/crates/daemon/src/back_end/probe.rs
@@ -21,7 +21,7 @@
     while asked < QUESTIONS {
         if let Some(path) = monitor.health_path(&service) {
             asked += 1;
-            let health = monitor.inbound().ask_health(address, &path).await;
+            let health = monitor.inbound().probe_health(address, &path).await;
             if let Some(health) = health
                 && let (Some(instance), Some(slots)) = (health.instance, health.slots)
             {
--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -29,7 +29,7 @@
 /// Asks `back_end`, and tells the pace what it says; `false` if it says nothing.
 async fn ask(monitor: &Arc<BackEndMonitor>, back_end: &BackEnd) -> bool {
     let Some(path) = monitor.health_path(&back_end.service) else { return false };
-    let Some(health) = monitor.inbound().ask_health(back_end.address, &path).await else { return false };
+    let Some(health) = monitor.inbound().probe_health(back_end.address, &path).await else { return false };
     if health.instance.is_some_and(|instance| instance != back_end.life.instance) {
         return false;
     }
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -27,7 +27,7 @@
 use crate::routing::TenantTable;
 use crate::suspended_time::SuspendedTime;
 use crate::upstream::{
-    Health, LoadListener, SlowdownWord, UpstreamPool, UpstreamSettings, ask_health, told_slowdown,
+    Health, LoadListener, SlowdownWord, UpstreamPool, UpstreamSettings, probe_health, told_slowdown,
 };
 
 /// Limits of the inbound half.
@@ -293,8 +293,8 @@
     }
 
     /// Asks the back end at `address` whether it is well; absent if it does not say so.
-    pub async fn ask_health(&self, address: SocketAddr, path: &str) -> Option<Health> {
-        let health = ask_health(&*self.network, &self.header_profile, address, path).await?;
+    pub async fn probe_health(&self, address: SocketAddr, path: &str) -> Option<Health> {
+        let health = probe_health(&*self.network, &self.header_profile, address, path).await?;
         if self.is_of_present(address, &health) {
             self.on_slowdown_word(health.slowdown);
         }
--- a/crates/forwarding/src/upstream/health.rs
+++ b/crates/forwarding/src/upstream/health.rs
@@ -31,7 +31,7 @@
 }
 
 /// Asks the back end at `address`; absent if it does not say that it is well.
-pub(crate) async fn ask_health(
+pub(crate) async fn probe_health(
     network: &dyn Network,
     header_profile: &HeaderProfile,
     address: SocketAddr,
--- a/crates/forwarding/src/upstream/mod.rs
+++ b/crates/forwarding/src/upstream/mod.rs
@@ -10,7 +10,7 @@
 pub use body::UpstreamBody;
 pub(crate) use exchange::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED};
 pub use health::Health;
-pub(crate) use health::ask_health;
+pub(crate) use health::probe_health;
 pub use load_field::SlowdownWord;
 pub(crate) use load_field::{LoadListener, told_slowdown};
 pub(crate) use pool::{Contact, UpstreamPool, UpstreamSettings};
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -93,10 +93,10 @@
 async fn a_back_end_tells_its_life_and_its_slots_when_asked() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
-    let health = world.served[0].inbound.ask_health(address, "/well").await.unwrap();
+    let health = world.served[0].inbound.probe_health(address, "/well").await.unwrap();
     assert_eq!((health.instance.as_deref(), health.slots), (Some("life-10"), Some(7)));
     let nowhere = "10.0.0.10:999".parse().unwrap();
-    assert!(world.served[0].inbound.ask_health(nowhere, "/well").await.is_none());
+    assert!(world.served[0].inbound.probe_health(nowhere, "/well").await.is_none());
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/forwarding/tests/slowdown.rs
+++ b/crates/forwarding/tests/slowdown.rs
@@ -89,12 +89,12 @@
     let inbound = &world.served[0].inbound;
     world.served[0].back_end.set_health_load("1,0,7,250");
     world.served[1].back_end.set_health_load("1,0,7,400");
-    assert_eq!(inbound.ask_health(present, "/well").await.unwrap().slowdown, SlowdownWord::Percent(250));
+    assert_eq!(inbound.probe_health(present, "/well").await.unwrap().slowdown, SlowdownWord::Percent(250));
     assert_eq!(inbound.load().slowdown_percent, 250);
-    assert!(inbound.ask_health(another, "/well").await.is_some());
+    assert!(inbound.probe_health(another, "/well").await.is_some());
     assert_eq!(inbound.load().slowdown_percent, 250);
     world.served[0].back_end.set_health_load("1,0,7");
-    assert!(inbound.ask_health(present, "/well").await.is_some());
+    assert!(inbound.probe_health(present, "/well").await.is_some());
     assert_eq!(inbound.load().slowdown_percent, 250);
 }
 
