--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -27,7 +27,7 @@
 use crate::routing::TenantTable;
 use crate::suspended_time::SuspendedTime;
 use crate::upstream::{
-    Health, LoadListener, SlowdownWord, UpstreamPool, UpstreamSettings, probe_health, told_slowdown,
+    Health, LoadListener, ReportedSlowdown, UpstreamPool, UpstreamSettings, probe_health, told_slowdown,
 };
 
 /// Limits of the inbound half.
@@ -310,11 +310,11 @@
     }
 
     /// Takes in how long work takes at the back end, by its word.
-    fn on_slowdown_word(&self, word: SlowdownWord) {
+    fn on_slowdown_word(&self, word: ReportedSlowdown) {
         let is_valid = match word {
-            SlowdownWord::Untold => return,
-            SlowdownWord::Percent(percent) => self.admission.on_slowdown(percent).is_ok(),
-            SlowdownWord::Invalid => false,
+            ReportedSlowdown::Untold => return,
+            ReportedSlowdown::Percent(percent) => self.admission.on_slowdown(percent).is_ok(),
+            ReportedSlowdown::Invalid => false,
         };
         self.telemetry.metrics().slowdown_word(is_valid);
     }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -36,4 +36,4 @@
     WeightedService,
 };
 pub use server::{ServerControl, ServerPhase, serve_inbound, serve_outbound};
-pub use upstream::{Health, SlowdownWord};
+pub use upstream::{Health, ReportedSlowdown};
--- a/crates/forwarding/src/upstream/health.rs
+++ b/crates/forwarding/src/upstream/health.rs
@@ -9,7 +9,7 @@
 use umberpond_http1::{Fields, Framing, MessageReader, write_request_head};
 use umberpond_net::Network;
 
-use super::load_field::{SlowdownWord, told_slots, told_slowdown};
+use super::load_field::{ReportedSlowdown, told_slots, told_slowdown};
 use crate::header_profile::HeaderProfile;
 
 /// Longest time of the whole question.
@@ -27,7 +27,7 @@
     /// How much longer it is cold; zero if it is warm, or doesn't tell.
     pub cold_for: Duration,
     /// How long work takes there at this moment.
-    pub slowdown: SlowdownWord,
+    pub slowdown: ReportedSlowdown,
 }
 
 /// Asks the back end at `address`; absent if it does not say that it is well.
@@ -59,7 +59,7 @@
     let instance = head.fields.text(header_profile.instance).map(str::to_owned);
     let load = head.fields.text(header_profile.load);
     let slots = load.and_then(told_slots);
-    let slowdown = load.map_or(SlowdownWord::Untold, told_slowdown);
+    let slowdown = load.map_or(ReportedSlowdown::Untold, told_slowdown);
     let cold_for = header_profile.warmup_millis.and_then(|name| head.fields.text(name)).and_then(told_millis);
     let cold_for = cold_for.unwrap_or_default();
     (head.status == 200).then_some(Health { instance, slots, cold_for, slowdown })
--- a/crates/forwarding/src/upstream/load_field.rs
+++ b/crates/forwarding/src/upstream/load_field.rs
@@ -12,7 +12,7 @@
 
 /// How long work takes at the back end at this moment, as it tells.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum SlowdownWord {
+pub enum ReportedSlowdown {
     /// It doesn't tell.
     Untold,
     /// In hundredths of the usual time.
@@ -27,13 +27,13 @@
 }
 
 /// The slowdown in a load field.
-pub(crate) fn told_slowdown(field: &str) -> SlowdownWord {
-    let Some(figure) = field.split(',').nth(SLOWDOWN_PLACE) else { return SlowdownWord::Untold };
+pub(crate) fn told_slowdown(field: &str) -> ReportedSlowdown {
+    let Some(figure) = field.split(',').nth(SLOWDOWN_PLACE) else { return ReportedSlowdown::Untold };
     match figure.trim().parse::<f64>() {
         Ok(percent) if (0.0..=f64::from(u16::MAX)).contains(&percent) => {
-            SlowdownWord::Percent(rounded(percent))
+            ReportedSlowdown::Percent(rounded(percent))
         }
-        Ok(_) | Err(_) => SlowdownWord::Invalid,
+        Ok(_) | Err(_) => ReportedSlowdown::Invalid,
     }
 }
 
--- a/crates/forwarding/src/upstream/mod.rs
+++ b/crates/forwarding/src/upstream/mod.rs
@@ -11,6 +11,6 @@
 pub(crate) use exchange::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED};
 pub use health::Health;
 pub(crate) use health::probe_health;
-pub use load_field::SlowdownWord;
+pub use load_field::ReportedSlowdown;
 pub(crate) use load_field::{LoadListener, told_slowdown};
 pub(crate) use pool::{Contact, UpstreamPool, UpstreamSettings};
--- a/crates/forwarding/tests/slowdown.rs
+++ b/crates/forwarding/tests/slowdown.rs
@@ -6,7 +6,7 @@
 
 use support::back_end::Act;
 use support::{BACK_END_PORT, World, host};
-use umberpond_forwarding::SlowdownWord;
+use umberpond_forwarding::ReportedSlowdown;
 use umberpond_telemetry::Event;
 
 /// Time that the back end takes for a request, in milliseconds. The objective is 500 ms.
@@ -89,7 +89,10 @@
     let inbound = &world.served[0].inbound;
     world.served[0].back_end.set_health_load("1,0,7,250");
     world.served[1].back_end.set_health_load("1,0,7,400");
-    assert_eq!(inbound.probe_health(present, "/well").await.unwrap().slowdown, SlowdownWord::Percent(250));
+    assert_eq!(
+        inbound.probe_health(present, "/well").await.unwrap().slowdown,
+        ReportedSlowdown::Percent(250)
+    );
     assert_eq!(inbound.load().slowdown_percent, 250);
     assert!(inbound.probe_health(another, "/well").await.is_some());
     assert_eq!(inbound.load().slowdown_percent, 250);
