--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -312,7 +312,7 @@
     /// Takes in how long work takes at the back end, by its word.
     fn on_slowdown_word(&self, word: ReportedSlowdown) {
         let is_valid = match word {
-            ReportedSlowdown::Untold => return,
+            ReportedSlowdown::Unreported => return,
             ReportedSlowdown::Percent(percent) => self.admission.on_slowdown(percent).is_ok(),
             ReportedSlowdown::Invalid => false,
         };
--- a/crates/forwarding/src/upstream/health.rs
+++ b/crates/forwarding/src/upstream/health.rs
@@ -59,7 +59,7 @@
     let instance = head.fields.text(header_profile.instance).map(str::to_owned);
     let load = head.fields.text(header_profile.load);
     let slots = load.and_then(told_slots);
-    let slowdown = load.map_or(ReportedSlowdown::Untold, told_slowdown);
+    let slowdown = load.map_or(ReportedSlowdown::Unreported, told_slowdown);
     let cold_for = header_profile.warmup_millis.and_then(|name| head.fields.text(name)).and_then(told_millis);
     let cold_for = cold_for.unwrap_or_default();
     (head.status == 200).then_some(Health { instance, slots, cold_for, slowdown })
--- a/crates/forwarding/src/upstream/load_field.rs
+++ b/crates/forwarding/src/upstream/load_field.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedSlowdown {
     /// It doesn't tell.
-    Untold,
+    Unreported,
     /// In hundredths of the usual time.
     Percent(u16),
     /// Its fourth value is not a slowdown.
@@ -28,7 +28,7 @@
 
 /// The slowdown in a load field.
 pub(crate) fn told_slowdown(field: &str) -> ReportedSlowdown {
-    let Some(figure) = field.split(',').nth(SLOWDOWN_PLACE) else { return ReportedSlowdown::Untold };
+    let Some(figure) = field.split(',').nth(SLOWDOWN_PLACE) else { return ReportedSlowdown::Unreported };
     match figure.trim().parse::<f64>() {
         Ok(percent) if (0.0..=f64::from(u16::MAX)).contains(&percent) => {
             ReportedSlowdown::Percent(rounded(percent))
--- a/crates/forwarding/src/upstream/load_field/tests.rs
+++ b/crates/forwarding/src/upstream/load_field/tests.rs
@@ -5,8 +5,8 @@
 #[test]
 fn a_field_of_three_figures_tells_no_slowdown() {
     assert_eq!(told_slots("1,0,7"), Some(7));
-    assert_eq!(told_slowdown("1,0,7"), ReportedSlowdown::Untold);
-    assert_eq!(told_slowdown(""), ReportedSlowdown::Untold);
+    assert_eq!(told_slowdown("1,0,7"), ReportedSlowdown::Unreported);
+    assert_eq!(told_slowdown(""), ReportedSlowdown::Unreported);
 }
 
 #[test]
