--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 use umberpond_http1::Fields;
-use umberpond_quarantine::Standing;
+use umberpond_quarantine::SuspicionLevel;
 use umberpond_scheduling::{PendingRun, Refusal, WorkItem};
 use umberpond_telemetry::Event;
 
@@ -123,7 +123,7 @@
         place: Option<SuspectPlace>,
     ) -> Result<Option<SuspectPlace>, NotRun> {
         let key = &attempt.request_key;
-        if place.is_some() && self.quarantine.standing(key) <= Standing::Alone {
+        if place.is_some() && self.quarantine.standing(key) <= SuspicionLevel::Alone {
             return Ok(place);
         }
         self.suspect_lane.try_enter(&target.watch, key, target.back_end.slots)
--- a/crates/forwarding/src/inbound/suspect_lane.rs
+++ b/crates/forwarding/src/inbound/suspect_lane.rs
@@ -5,7 +5,7 @@
 
 use parking_lot::Mutex;
 use tokio::time::{Instant, timeout_at};
-use umberpond_quarantine::{RequestKey, Standing};
+use umberpond_quarantine::{RequestKey, SuspicionLevel};
 
 use super::crash_watch::CrashWatch;
 use crate::message::NotRun;
@@ -72,14 +72,14 @@
         slots: u32,
     ) -> Result<Option<SuspectPlace>, NotRun> {
         let places = match self.quarantine.standing(key) {
-            Standing::Clear => return Ok(None),
-            Standing::Suspected => (slots / SLOTS_A_PLACE).max(1) as usize,
-            Standing::Alone => 1,
-            Standing::Paused(left) => {
+            SuspicionLevel::Clear => return Ok(None),
+            SuspicionLevel::Suspected => (slots / SLOTS_A_PLACE).max(1) as usize,
+            SuspicionLevel::Alone => 1,
+            SuspicionLevel::Paused(left) => {
                 let not_run = NotRun::before_back_end(NotRunReason::SuspectPaused);
                 return Err(NotRun { retry_after: Some(left), ..not_run });
             }
-            Standing::Quarantined => return Err(NotRun::before_back_end(NotRunReason::Quarantined)),
+            SuspicionLevel::Quarantined => return Err(NotRun::before_back_end(NotRunReason::Quarantined)),
         };
         let place = self.take(watch, key, places);
         place.map(Some).ok_or(NotRun::before_back_end(NotRunReason::SuspectBusy))
@@ -92,8 +92,9 @@
         let runs = watch.runs_without_place().into_iter();
         let others = state.held.values().copied().chain(runs);
         let standings = others.map(|other| self.quarantine.standing(&other));
-        let suspects: Vec<Standing> = standings.filter(|standing| *standing != Standing::Clear).collect();
-        if suspects.len() >= places || suspects.iter().any(|standing| *standing > Standing::Suspected) {
+        let suspects: Vec<SuspicionLevel> =
+            standings.filter(|standing| *standing != SuspicionLevel::Clear).collect();
+        if suspects.len() >= places || suspects.iter().any(|standing| *standing > SuspicionLevel::Suspected) {
             return None;
         }
         state.given += 1;
--- a/crates/forwarding/src/outbound/attempts/choosing.rs
+++ b/crates/forwarding/src/outbound/attempts/choosing.rs
@@ -1,7 +1,7 @@
 //! To which endpoint the next attempt goes.
 
 use tokio::time::Instant;
-use umberpond_quarantine::Standing;
+use umberpond_quarantine::SuspicionLevel;
 use umberpond_selection::{Choice, Query, ReleaseGroup};
 
 use super::Attempts;
@@ -17,12 +17,12 @@
     /// Why the request is kept away from all back ends, if it is.
     pub(super) fn kept_away(&self) -> Option<NotRun> {
         match self.outbound.quarantine().standing(&self.request.request_key) {
-            Standing::Clear | Standing::Suspected | Standing::Alone => None,
-            Standing::Paused(left) => Some(NotRun {
+            SuspicionLevel::Clear | SuspicionLevel::Suspected | SuspicionLevel::Alone => None,
+            SuspicionLevel::Paused(left) => Some(NotRun {
                 retry_after: Some(left),
                 ..NotRun::before_back_end(NotRunReason::SuspectPaused)
             }),
-            Standing::Quarantined => Some(NotRun::before_back_end(NotRunReason::Quarantined)),
+            SuspicionLevel::Quarantined => Some(NotRun::before_back_end(NotRunReason::Quarantined)),
         }
     }
 
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -9,8 +9,8 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 use umberpond_quarantine::{
-    CrashId, Joined, QuarantineSettings, RequestFingerprint, RequestKey, Standing, SuspectLedger,
-    SuspectRecord,
+    CrashId, Joined, QuarantineSettings, RequestFingerprint, RequestKey, SuspectLedger, SuspectRecord,
+    SuspicionLevel,
 };
 use umberpond_telemetry::{Event, Telemetry};
 
@@ -65,16 +65,16 @@
     }
 
     /// How a request is treated.
-    pub(crate) fn standing(&self, key: &RequestKey) -> Standing {
+    pub(crate) fn standing(&self, key: &RequestKey) -> SuspicionLevel {
         if self.is_empty.load(Ordering::Relaxed) {
-            return Standing::Clear;
+            return SuspicionLevel::Clear;
         }
         self.ledger.lock().standing(now(), key)
     }
 
     /// Whether a request is under suspicion.
     pub(crate) fn is_suspect(&self, key: &RequestKey) -> bool {
-        self.standing(key) != Standing::Clear
+        self.standing(key) != SuspicionLevel::Clear
     }
 
     /// Told whenever a request under suspicion may begin that could not before.
@@ -176,11 +176,11 @@
         drop(ledger);
         let (fingerprint, source) = (fingerprint.to_string(), source.word());
         self.telemetry.emit(match standing {
-            Standing::Clear => Event::RequestCleared { fingerprint, source },
-            Standing::Suspected | Standing::Alone | Standing::Paused(_) => {
+            SuspicionLevel::Clear => Event::RequestCleared { fingerprint, source },
+            SuspicionLevel::Suspected | SuspicionLevel::Alone | SuspicionLevel::Paused(_) => {
                 Event::RequestSuspected { fingerprint, crashes, source }
             }
-            Standing::Quarantined => Event::RequestQuarantined { fingerprint, crashes, source },
+            SuspicionLevel::Quarantined => Event::RequestQuarantined { fingerprint, crashes, source },
         });
     }
 }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -6,7 +6,7 @@
 use crate::finding::{CrashId, Finding, SuspectRecord};
 use crate::fingerprint::{RequestFingerprint, RequestKey};
 use crate::settings::QuarantineSettings;
-use crate::standing::Standing;
+use crate::standing::SuspicionLevel;
 use crate::suspect::Suspect;
 
 /// Ends from which on a fingerprint is told again to nodes that may have missed it. A single one is told once: most of those are of requests that ran beside.
@@ -43,27 +43,27 @@
 
     /// How a request is treated.
     #[must_use]
-    pub fn standing(&self, now: Instant, key: &RequestKey) -> Standing {
+    pub fn standing(&self, now: Instant, key: &RequestKey) -> SuspicionLevel {
         let standings = key.fingerprints().into_iter().map(|fingerprint| self.standing_of(now, &fingerprint));
-        standings.max().unwrap_or(Standing::Clear)
+        standings.max().unwrap_or(SuspicionLevel::Clear)
     }
 
     /// How whatever has this fingerprint is treated.
     #[must_use]
-    pub fn standing_of(&self, now: Instant, fingerprint: &RequestFingerprint) -> Standing {
-        let Some(suspect) = self.suspects.get(fingerprint) else { return Standing::Clear };
+    pub fn standing_of(&self, now: Instant, fingerprint: &RequestFingerprint) -> SuspicionLevel {
+        let Some(suspect) = self.suspects.get(fingerprint) else { return SuspicionLevel::Clear };
         let crashes = suspect.crashes();
         if crashes == 0 || self.is_over(now, suspect.blamed_at) {
-            return Standing::Clear;
+            return SuspicionLevel::Clear;
         }
         if crashes >= self.settings.crashes {
-            return Standing::Quarantined;
+            return SuspicionLevel::Quarantined;
         }
         if crashes + 1 < self.settings.crashes {
-            return Standing::Suspected;
+            return SuspicionLevel::Suspected;
         }
         let left = self.settings.pause.saturating_sub(now.saturating_duration_since(suspect.blamed_at));
-        if left.is_zero() { Standing::Alone } else { Standing::Paused(left) }
+        if left.is_zero() { SuspicionLevel::Alone } else { SuspicionLevel::Paused(left) }
     }
 
     /// Ends that a request is blamed for.
@@ -174,7 +174,7 @@
         let refused = self
             .suspects
             .iter()
-            .filter(|(fingerprint, _)| self.standing_of(now, fingerprint) == Standing::Quarantined);
+            .filter(|(fingerprint, _)| self.standing_of(now, fingerprint) == SuspicionLevel::Quarantined);
         refused.map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
--- a/crates/quarantine/src/standing.rs
+++ b/crates/quarantine/src/standing.rs
@@ -4,7 +4,7 @@
 
 /// How a request is treated.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Standing {
+pub enum SuspicionLevel {
     /// Like any other.
     Clear,
     /// It runs beside a few others under suspicion at most, so that an end of the back end is explained by few.
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -4,8 +4,8 @@
 
 use quickcheck::{Arbitrary, Gen, QuickCheck};
 use umberpond_quarantine::{
-    CrashId, Finding, QuarantineSettings, RequestContent, RequestFingerprint, RequestKey, Standing,
-    SuspectLedger, SuspectRecord,
+    CrashId, Finding, QuarantineSettings, RequestContent, RequestFingerprint, RequestKey, SuspectLedger,
+    SuspectRecord, SuspicionLevel,
 };
 
 const SETTINGS: QuarantineSettings = QuarantineSettings {
@@ -43,15 +43,15 @@
     let start = Instant::now();
     let mut ledger = ledger();
     let guilty = key("/guilty");
-    assert_eq!(ledger.standing(start, &guilty), Standing::Clear);
+    assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Clear);
     ledger.blame(start, CrashId(1), &[guilty]);
-    assert_eq!(ledger.standing(start, &guilty), Standing::Suspected);
+    assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Suspected);
     ledger.blame(after(start, 1), CrashId(2), &[guilty]);
-    assert_eq!(ledger.standing(after(start, 2), &guilty), Standing::Paused(Duration::from_secs(3)));
-    assert_eq!(ledger.standing(after(start, 5), &guilty), Standing::Alone);
+    assert_eq!(ledger.standing(after(start, 2), &guilty), SuspicionLevel::Paused(Duration::from_secs(3)));
+    assert_eq!(ledger.standing(after(start, 5), &guilty), SuspicionLevel::Alone);
     ledger.blame(after(start, 5), CrashId(3), &[guilty]);
-    assert_eq!(ledger.standing(after(start, 500), &guilty), Standing::Quarantined);
-    assert_eq!(ledger.standing(after(start, 700), &guilty), Standing::Clear);
+    assert_eq!(ledger.standing(after(start, 500), &guilty), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.standing(after(start, 700), &guilty), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -63,8 +63,8 @@
     ledger.clear(&beside);
     assert_eq!(ledger.blame(start, CrashId(2), &[guilty, beside, later]), [guilty]);
     assert_eq!(ledger.blame(start, CrashId(3), &[later, guilty]), [guilty]);
-    assert_eq!(ledger.standing(start, &beside), Standing::Clear);
-    assert_eq!(ledger.standing(start, &later), Standing::Clear);
+    assert_eq!(ledger.standing(start, &beside), SuspicionLevel::Clear);
+    assert_eq!(ledger.standing(start, &later), SuspicionLevel::Clear);
 }
 
 /// Both would be refused by this end, and one of them wrongly.
@@ -80,8 +80,8 @@
         assert_eq!(ledger.blame(start, CrashId(crash), &[guilty, beside]), []);
     }
     ledger.blame(start, CrashId(10), &[guilty]);
-    assert_eq!(ledger.standing(start, &guilty), Standing::Quarantined);
-    assert_ne!(ledger.standing(start, &beside), Standing::Quarantined);
+    assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Quarantined);
+    assert_ne!(ledger.standing(start, &beside), SuspicionLevel::Quarantined);
 }
 
 #[test]
@@ -92,8 +92,8 @@
     for crash in 1..=3 {
         ledger.blame(start, CrashId(crash), &keys);
     }
-    assert_eq!(ledger.standing(start, &keys[0]), Standing::Quarantined);
-    assert_eq!(ledger.standing(start, &key_by("/guilty", "another")), Standing::Quarantined);
+    assert_eq!(ledger.standing(start, &keys[0]), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.standing(start, &key_by("/guilty", "another")), SuspicionLevel::Quarantined);
 }
 
 /// One service is answered what ends back ends when another one asks it.
@@ -106,8 +106,8 @@
         ledger.blame(start, CrashId(crash), &[crashing]);
         ledger.clear(&answered);
     }
-    assert_eq!(ledger.standing(start, &crashing), Standing::Quarantined);
-    assert_eq!(ledger.standing(start, &answered), Standing::Clear);
+    assert_eq!(ledger.standing(start, &crashing), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.standing(start, &answered), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -121,7 +121,7 @@
     for number in 0..1_000 {
         ledger.blame(after(start, 1), CrashId(100 + number), &[key(&format!("/{number}"))]);
     }
-    assert_eq!(ledger.standing(after(start, 1), &guilty), Standing::Quarantined);
+    assert_eq!(ledger.standing(after(start, 1), &guilty), SuspicionLevel::Quarantined);
     assert!(ledger.quarantined(after(start, 1)).len() <= 2);
 }
 
@@ -134,8 +134,8 @@
         old.blame(start, CrashId(crash), &[guilty]);
     }
     new.join(after(start, 400), &old.repair_records(after(start, 400)));
-    assert_eq!(new.standing(after(start, 599), &guilty), Standing::Quarantined);
-    assert_eq!(new.standing(after(start, 600), &guilty), Standing::Clear);
+    assert_eq!(new.standing(after(start, 599), &guilty), SuspicionLevel::Quarantined);
+    assert_eq!(new.standing(after(start, 600), &guilty), SuspicionLevel::Clear);
     let too_old = old.repair_records(after(start, 599));
     let mut last = ledger();
     last.join(after(start, 2_000), &[SuspectRecord { age_millis: u32::MAX, ..too_old[0].clone() }]);
@@ -234,7 +234,7 @@
         let popular = key("/0");
         carry_out(&answered, start)
             .iter()
-            .all(|ledger| ledger.standing(start, &popular) != Standing::Quarantined)
+            .all(|ledger| ledger.standing(start, &popular) != SuspicionLevel::Quarantined)
     }
     QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Step>) -> bool);
 }
