--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -123,7 +123,7 @@
         place: Option<SuspectPlace>,
     ) -> Result<Option<SuspectPlace>, NotRun> {
         let key = &attempt.request_key;
-        if place.is_some() && self.quarantine.standing(key) <= SuspicionLevel::Alone {
+        if place.is_some() && self.quarantine.standing(key) <= SuspicionLevel::Isolated {
             return Ok(place);
         }
         self.suspect_lane.try_enter(&target.watch, key, target.back_end.slots)
--- a/crates/forwarding/src/inbound/suspect_lane.rs
+++ b/crates/forwarding/src/inbound/suspect_lane.rs
@@ -74,7 +74,7 @@
         let places = match self.quarantine.standing(key) {
             SuspicionLevel::Clear => return Ok(None),
             SuspicionLevel::Suspected => (slots / SLOTS_A_PLACE).max(1) as usize,
-            SuspicionLevel::Alone => 1,
+            SuspicionLevel::Isolated => 1,
             SuspicionLevel::Paused(left) => {
                 let not_run = NotRun::before_back_end(NotRunReason::SuspectPaused);
                 return Err(NotRun { retry_after: Some(left), ..not_run });
--- a/crates/forwarding/src/outbound/attempts/choosing.rs
+++ b/crates/forwarding/src/outbound/attempts/choosing.rs
@@ -17,7 +17,7 @@
     /// Why the request is kept away from all back ends, if it is.
     pub(super) fn kept_away(&self) -> Option<NotRun> {
         match self.outbound.quarantine().standing(&self.request.request_key) {
-            SuspicionLevel::Clear | SuspicionLevel::Suspected | SuspicionLevel::Alone => None,
+            SuspicionLevel::Clear | SuspicionLevel::Suspected | SuspicionLevel::Isolated => None,
             SuspicionLevel::Paused(left) => Some(NotRun {
                 retry_after: Some(left),
                 ..NotRun::before_back_end(NotRunReason::SuspectPaused)
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -177,7 +177,7 @@
         let (fingerprint, source) = (fingerprint.to_string(), source.word());
         self.telemetry.emit(match standing {
             SuspicionLevel::Clear => Event::RequestCleared { fingerprint, source },
-            SuspicionLevel::Suspected | SuspicionLevel::Alone | SuspicionLevel::Paused(_) => {
+            SuspicionLevel::Suspected | SuspicionLevel::Isolated | SuspicionLevel::Paused(_) => {
                 Event::RequestSuspected { fingerprint, crashes, source }
             }
             SuspicionLevel::Quarantined => Event::RequestQuarantined { fingerprint, crashes, source },
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -63,7 +63,7 @@
             return SuspicionLevel::Suspected;
         }
         let left = self.settings.pause.saturating_sub(now.saturating_duration_since(suspect.blamed_at));
-        if left.is_zero() { SuspicionLevel::Alone } else { SuspicionLevel::Paused(left) }
+        if left.is_zero() { SuspicionLevel::Isolated } else { SuspicionLevel::Paused(left) }
     }
 
     /// Ends that a request is blamed for.
--- a/crates/quarantine/src/standing.rs
+++ b/crates/quarantine/src/standing.rs
@@ -10,7 +10,7 @@
     /// It runs beside a few others under suspicion at most, so that an end of the back end is explained by few.
     Suspected,
     /// It runs beside no other one under suspicion, so that an end of the back end tells for certain.
-    Alone,
+    Isolated,
     /// It is refused for this time.
     Paused(Duration),
     /// It is refused.
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -48,7 +48,7 @@
     assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Suspected);
     ledger.blame(after(start, 1), CrashId(2), &[guilty]);
     assert_eq!(ledger.standing(after(start, 2), &guilty), SuspicionLevel::Paused(Duration::from_secs(3)));
-    assert_eq!(ledger.standing(after(start, 5), &guilty), SuspicionLevel::Alone);
+    assert_eq!(ledger.standing(after(start, 5), &guilty), SuspicionLevel::Isolated);
     ledger.blame(after(start, 5), CrashId(3), &[guilty]);
     assert_eq!(ledger.standing(after(start, 500), &guilty), SuspicionLevel::Quarantined);
     assert_eq!(ledger.standing(after(start, 700), &guilty), SuspicionLevel::Clear);
