--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -172,7 +172,7 @@
     fn tell(&self, fingerprint: &RequestFingerprint, source: FindingSource) {
         let ledger = self.ledger.lock();
         let standing = ledger.standing_of(now(), fingerprint);
-        let crashes = ledger.crashes_of(fingerprint) as u64;
+        let crashes = ledger.fingerprint_crash_count(fingerprint) as u64;
         drop(ledger);
         let (fingerprint, source) = (fingerprint.to_string(), source.word());
         self.telemetry.emit(match standing {
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -69,13 +69,14 @@
     /// Ends that a request is blamed for.
     #[must_use]
     pub fn crashes(&self, key: &RequestKey) -> usize {
-        let crashes = key.fingerprints().into_iter().map(|fingerprint| self.crashes_of(&fingerprint));
+        let crashes =
+            key.fingerprints().into_iter().map(|fingerprint| self.fingerprint_crash_count(&fingerprint));
         crashes.max().unwrap_or(0)
     }
 
     /// Ends that whatever has this fingerprint is blamed for.
     #[must_use]
-    pub fn crashes_of(&self, fingerprint: &RequestFingerprint) -> usize {
+    pub fn fingerprint_crash_count(&self, fingerprint: &RequestFingerprint) -> usize {
         self.suspects.get(fingerprint).map_or(0, Suspect::crashes)
     }
 
