--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -78,7 +78,7 @@
         };
         let untold = self.quarantine.repair_records().into_iter();
         let mut lacking: Vec<SuspectRecord> = untold.filter(|record| !told(&record.fingerprint)).collect();
-        lacking.extend(self.quarantine.records(&joined.known_better));
+        lacking.extend(self.quarantine.records(&joined.sender_outdated));
         lacking
     }
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -18,7 +18,7 @@
     /// Fingerprints of which something is new here.
     pub changed: Vec<RequestFingerprint>,
     /// Fingerprints of which more is known here than was told.
-    pub known_better: Vec<RequestFingerprint>,
+    pub sender_outdated: Vec<RequestFingerprint>,
 }
 
 /// The findings about requests that may end back ends. Two ledgers that have heard the same, in whatever order, hold the same.
@@ -123,7 +123,7 @@
             }
             let known = self.suspects.get(&record.fingerprint);
             if known.is_some_and(|suspect| suspect.knows_more_than(&record.findings)) {
-                joined.known_better.push(record.fingerprint);
+                joined.sender_outdated.push(record.fingerprint);
             }
             if known.is_some_and(|suspect| suspect.knows(&record.findings)) {
                 continue;
