--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -98,7 +98,7 @@
     loop {
         match task.step(&mut entry).await {
             Ok(true) => {
-                let _ = task.membership.send_message(MembershipMessage::Joined);
+                let _ = task.membership.send_message(MembershipMessage::MergeOutcome);
                 return;
             }
             // The entry is missing, and is written without a pause.
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -139,7 +139,7 @@
                 self.membership.on_introductions(now, introductions);
                 self.membership.on_tick(now)
             }
-            MembershipMessage::Joined => {
+            MembershipMessage::MergeOutcome => {
                 self.has_joined = true;
                 self.tell_sharing_nodes();
                 self.suspects.ask(&mut self.membership)
--- a/crates/daemon/src/membership/message.rs
+++ b/crates/daemon/src/membership/message.rs
@@ -21,7 +21,7 @@
     /// Nodes that the store names.
     Introductions(Vec<Introduction>),
     /// The store has named all nodes that were there before this one.
-    Joined,
+    MergeOutcome,
     /// This node's word of its back end.
     BackEnd(Option<BackEndRecord>),
     /// This process goes on to another phase.
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 use umberpond_quarantine::{
-    CrashId, Joined, QuarantineSettings, RequestFingerprint, RequestKey, SuspectLedger, SuspectRecord,
+    CrashId, MergeOutcome, QuarantineSettings, RequestFingerprint, RequestKey, SuspectLedger, SuspectRecord,
     SuspicionLevel,
 };
 use umberpond_telemetry::{Event, Telemetry};
@@ -110,7 +110,7 @@
     }
 
     /// Joins what another node or the store tells.
-    pub fn join(&self, records: &[SuspectRecord], source: FindingSource) -> Joined {
+    pub fn join(&self, records: &[SuspectRecord], source: FindingSource) -> MergeOutcome {
         let joined = self.ledger.lock().join(now(), records);
         self.on_changed(&joined.changed, source);
         joined
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -14,7 +14,7 @@
 
 /// What came of joining what another node knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Joined {
+pub struct MergeOutcome {
     /// Fingerprints of which something is new here.
     pub changed: Vec<RequestFingerprint>,
     /// Fingerprints of which more is known here than was told.
@@ -113,8 +113,8 @@
     }
 
     /// Joins what another node, or the store, tells.
-    pub fn join(&mut self, now: Instant, records: &[SuspectRecord]) -> Joined {
-        let mut joined = Joined::default();
+    pub fn join(&mut self, now: Instant, records: &[SuspectRecord]) -> MergeOutcome {
+        let mut joined = MergeOutcome::default();
         for record in records {
             let age = Duration::from_millis(u64::from(record.age_millis));
             let blamed_at = now.checked_sub(age).unwrap_or(now);
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -18,6 +18,6 @@
 pub use fingerprint::{
     FINGERPRINTED_BYTES, InvalidFingerprint, RequestContent, RequestFingerprint, RequestKey,
 };
-pub use ledger::{Joined, SuspectLedger};
+pub use ledger::{MergeOutcome, SuspectLedger};
 pub use settings::QuarantineSettings;
 pub use standing::SuspicionLevel;
