--- a/crates/forwarding/tests/bodies.rs
+++ b/crates/forwarding/tests/bodies.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::caller::get;
 use support::{World, host, pause};
 use tokio::time::Instant;
@@ -112,7 +112,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_body_that_would_come_too_late_is_refused_before_it_moves() {
-    let slow = Act::Answer { status: 200, body: "a", after: 50 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 50 };
     let world = World::with_link(vec![vec![slow]], SLOW_LINK).await;
     widen(&world, 64);
     world.network.limit_bandwidth(host(CALLERS), 1_250_000);
@@ -187,7 +187,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_to_an_earlier_request_does_not_spoil_that_of_a_long_body() {
-    let first = Act::Slowly {
+    let first = ScriptedResponse::Slowly {
         first: "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 3\r\n\r\none",
         second: "HTTP/1.1 200 OK\r\numberpond-request: r1\r\nx-proof: p\r\nContent-Length: 4\r\n\r\nlate",
         after: 30,
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::{SLOTS, World, name, pause};
 use tokio::time::Instant;
 use umberpond_forwarding::{BackEnd, ServerPhase};
@@ -12,7 +12,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_closed_back_end_gets_nothing_more_and_finishes_what_it_holds() {
-    let slow = Act::Answer { status: 200, body: "finished", after: 800 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 800 };
     let world = World::with_routes(vec![vec![slow.clone()]]).await;
     let mut asking = Vec::new();
     for number in 0..4 {
@@ -34,7 +34,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_waits_for_a_leaving_back_end_is_sent_to_another() {
-    let slow = Act::Answer { status: 200, body: "a", after: 100 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 100 };
     let world = World::with_routes(vec![vec![slow.clone()], vec![slow]]).await;
     // So that it is known how fast the back ends are.
     for number in 0..6 {
@@ -113,7 +113,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_refusing_node_says_at_once_when_to_come_back_and_finishes_what_is_open() {
-    let slow = Act::Answer { status: 200, body: "finished", after: 900 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 900 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut open = world.caller().await;
     open.send("/write/a", "r1").await;
@@ -132,7 +132,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn every_request_has_its_final_answer_before_the_process_ends() {
-    let world = World::with_routes(vec![vec![Act::Silence]]).await;
+    let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
     let mut early = world.caller().await;
     early.send("/write/a", "r1").await;
     pause(50).await;
--- a/crates/forwarding/tests/outcomes.rs
+++ b/crates/forwarding/tests/outcomes.rs
@@ -4,26 +4,29 @@
 
 use std::time::Duration;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::{World, host, pause};
 use tokio::time::Instant;
 use umberpond_selection::RetryBudgetSettings;
 
-const NOT_RUN: Act = Act::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
-const SPOILED: Act = Act::RawThenClose("this is no answer\r\n\r\n");
-const CUT: Act = Act::RawThenClose(
+const NOT_RUN: ScriptedResponse =
+    ScriptedResponse::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
+const SPOILED: ScriptedResponse = ScriptedResponse::RawThenClose("this is no answer\r\n\r\n");
+const CUT: ScriptedResponse = ScriptedResponse::RawThenClose(
     "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 100\r\n\r\nonly a part",
 );
-const UNSIGNED: Act = Act::Raw("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nContent-Length: 2\r\n\r\nno");
-const ENCODED: Act = Act::Raw(
+const UNSIGNED: ScriptedResponse =
+    ScriptedResponse::Raw("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nContent-Length: 2\r\n\r\nno");
+const ENCODED: ScriptedResponse = ScriptedResponse::Raw(
     "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Encoding: gzip\r\n\
      Content-Length: 2\r\n\r\nno",
 );
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_a_back_end_did_not_run_is_sent_to_another_whatever_its_kind() {
-    const MISDIRECTED: Act =
-        Act::Raw("HTTP/1.1 421 Other\r\numberpond-serving-instance: other\r\nContent-Length: 0\r\n\r\n");
+    const MISDIRECTED: ScriptedResponse = ScriptedResponse::Raw(
+        "HTTP/1.1 421 Other\r\numberpond-serving-instance: other\r\nContent-Length: 0\r\n\r\n",
+    );
     for path in ["/read/a", "/write/a"] {
         for refusal in [NOT_RUN, MISDIRECTED] {
             let world = World::with_routes(vec![vec![refusal.clone()], vec![refusal]]).await;
@@ -60,7 +63,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_failure_of_the_back_end_is_passed_on_if_the_request_must_not_repeat() {
-    let failed = Act::Answer { status: 500, body: "sorry", after: 1 };
+    let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
     let world = World::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
     let answer = world.caller().await.ask("/write/a", "r1").await;
     assert_eq!((answer.status, answer.text()), (500, "sorry"));
@@ -70,7 +73,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_second_answer_of_a_failing_back_end_is_the_last_one() {
-    let failed = Act::Answer { status: 500, body: "sorry", after: 1 };
+    let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
     let world = World::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
     let answer = world.caller().await.ask("/read/a", "r1").await;
     assert_eq!((answer.status, answer.text()), (500, "sorry"));
@@ -79,7 +82,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn silence_ends_at_the_time_of_the_route_without_a_promise() {
-    let world = World::with_routes(vec![vec![Act::Silence]]).await;
+    let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
     let began = Instant::now();
     let answer = world.caller().await.ask("/write/a", "r1").await;
     assert_eq!(answer.status, 504);
@@ -90,7 +93,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_request_that_waited_until_the_end_of_its_time_is_promised_not_to_have_run() {
-    let slow = Act::Answer { status: 200, body: "a", after: 1_900 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_900 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut asking = Vec::new();
     for number in 0..3 {
@@ -110,11 +113,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_surplus_answer_in_the_place_of_the_next_is_passed_over() {
-    const TWICE: Act = Act::Raw(
+    const TWICE: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst",
     );
     // The first answer is written a second time, just before the next one.
-    const LATE: Act = Act::Raw(
+    const LATE: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 200 OK\r\numberpond-request: r1\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst\
          HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 6\r\n\r\nsecond",
     );
@@ -127,7 +130,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn bytes_after_a_whole_answer_belong_to_no_request() {
-    const MORE: Act = Act::Raw(
+    const MORE: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst\
          and more of it",
     );
@@ -140,13 +143,15 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_without_a_length_is_whole_at_a_clean_end_and_at_no_other() {
-    const UNFRAMED: Act =
-        Act::RawThenClose("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there is");
+    const UNFRAMED: ScriptedResponse = ScriptedResponse::RawThenClose(
+        "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there is",
+    );
     let world = World::with_routes(vec![vec![UNFRAMED]]).await;
     let answer = world.caller().await.ask("/write/a", "r1").await;
     assert_eq!((answer.status, answer.text()), (200, "all there is"));
 
-    const HELD: Act = Act::Raw("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there");
+    const HELD: ScriptedResponse =
+        ScriptedResponse::Raw("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there");
     let world = World::with_routes(vec![vec![HELD]]).await;
     let mut caller = world.caller().await;
     caller.send("/write/a", "r1").await;
@@ -158,7 +163,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_early_answer_is_passed_on_and_the_rest_of_the_body_reaches_nobody() {
-    let early = Act::EarlyAnswer { status: 413, body: "too long for me" };
+    let early = ScriptedResponse::EarlyAnswer { status: 413, body: "too long for me" };
     let world = World::with_routes(vec![vec![early, ok("next")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
@@ -195,7 +200,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_node_that_dies_with_a_request_leaves_its_outcome_unknown() {
-    let slow = Act::Answer { status: 200, body: "a", after: 1_000 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_000 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
     caller.send("/write/a", "r1").await;
@@ -206,7 +211,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_leaves_ends_the_work_at_the_back_end() {
-    let slow = Act::Answer { status: 200, body: "a", after: 1_500 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_500 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
     caller.send("/read/a", "r1").await;
@@ -223,7 +228,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_caller_that_leaves_with_pipelined_requests_behind_ends_them_all() {
-    let slow = Act::Answer { status: 200, body: "a", after: 1_500 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_500 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
     for number in 0..6 {
@@ -240,7 +245,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_retry_budget_bounds_what_is_sent_again() {
-    let failed = Act::Answer { status: 500, body: "sorry", after: 1 };
+    let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
     let budget = RetryBudgetSettings { ratio: 0.2, extra: 100.0, window: Duration::from_secs(10) };
     let world = World::with_budget(vec![vec![failed.clone()], vec![failed]], budget).await;
     world.outbound.set_sharing_nodes(1);
--- a/crates/forwarding/tests/overload.rs
+++ b/crates/forwarding/tests/overload.rs
@@ -3,7 +3,7 @@
 mod support;
 
 use support::World;
-use support::back_end::Act;
+use support::back_end::ScriptedResponse;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
 use umberpond_config::{Entry, RequestClass, Route, RoutePolicy};
@@ -23,7 +23,7 @@
 /// and a full queue would be no better than a short one.
 #[tokio::test(start_paused = true)]
 async fn under_overload_answers_come_well_inside_the_objective_and_refusals_at_once() {
-    let act = Act::Answer { status: 200, body: "a", after: WORK_MILLIS };
+    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::with_routes(vec![vec![act]]).await;
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
@@ -59,7 +59,7 @@
 /// A caller has a few tries. Refused at once and told to come back soon, it spends them all while the service is full.
 #[tokio::test(start_paused = true)]
 async fn the_tries_of_a_refused_caller_are_spread_over_its_time() {
-    let act = Act::Answer { status: 200, body: "a", after: WORK_MILLIS };
+    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::with_routes(vec![vec![act]]).await;
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
@@ -88,7 +88,7 @@
 /// An answer to a first try is of full use, one to a later try only of part: its caller has waited before.
 #[tokio::test(start_paused = true)]
 async fn a_first_try_goes_before_a_later_one_and_callers_with_other_times_are_no_later_tries() {
-    let act = Act::Answer { status: 200, body: "a", after: WORK_MILLIS };
+    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::with_routes(vec![vec![act]]).await;
     // Two kinds of callers, which wait for 2.4 and for 1.2 s.
     for number in 0..40 {
@@ -118,7 +118,7 @@
 /// A request that came late, since other nodes were tried first, waits as long as that helps: not to its caller's end.
 #[tokio::test(start_paused = true)]
 async fn no_request_is_held_untried_for_more_than_half_of_its_callers_time() {
-    let act = Act::Answer { status: 200, body: "a", after: 1_900 };
+    let act = ScriptedResponse::Answer { status: 200, body: "a", after: 1_900 };
     let world = World::with_routes(vec![vec![act], vec![support::back_end::ok("b")]]).await;
     // The second node is silent: to find that out takes 300 ms, and the refusal would no longer come early.
     world.network.cut(support::host(1), support::host(11));
@@ -146,7 +146,7 @@
 /// What is expected of a request of which nothing is known must not keep it from being tried: then nothing is ever known.
 #[tokio::test(start_paused = true)]
 async fn a_route_whose_objective_exceeds_its_callers_time_is_served_from_the_first_request_on() {
-    let act = Act::Answer { status: 200, body: "a", after: WORK_MILLIS };
+    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::new(vec![vec![act]]).await;
     let mut snapshot = support::snapshot();
     let route = support::route("/read/", true);
@@ -182,7 +182,7 @@
 
 /// Sends 14 requests of rank 0 at once, which are seven times the slots.
 async fn ask_with_rank_0(class: RequestClass) -> Vec<Outcome> {
-    let act = Act::Answer { status: 200, body: "a", after: WORK_MILLIS };
+    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::new(vec![vec![act]]).await;
     let mut snapshot = support::snapshot();
     let route = support::route("/read/", true);
--- a/crates/forwarding/tests/path.rs
+++ b/crates/forwarding/tests/path.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::caller::get;
 use support::{SLOTS, World, name, pause, route, snapshot};
 use tokio::time::Instant;
@@ -75,7 +75,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_answer_that_comes_slowly_is_passed_on_as_it_comes() {
-    let slowly = Act::Slowly {
+    let slowly = ScriptedResponse::Slowly {
         first: "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 10\r\n\r\nfirst",
         second: "other",
         after: 1_000,
@@ -93,7 +93,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn pipelined_requests_run_at_once_and_are_answered_in_order() {
-    let slow = Act::Answer { status: 200, body: "slow", after: 300 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "slow", after: 300 };
     let world = World::with_routes(vec![vec![slow, ok("quick")]]).await;
     let mut caller = world.caller().await;
     let began = Instant::now();
@@ -109,7 +109,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn connections_are_kept_and_the_back_end_never_gets_more_than_its_slots() {
-    let world = World::with_routes(vec![vec![Act::Answer { status: 200, body: "a", after: 50 }]]).await;
+    let world =
+        World::with_routes(vec![vec![ScriptedResponse::Answer { status: 200, body: "a", after: 50 }]]).await;
     // While nothing is known of the back end's speed, a part of eight requests at once is refused.
     for number in 0..3 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
--- a/crates/forwarding/tests/places.rs
+++ b/crates/forwarding/tests/places.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::{World, name, snapshot};
 use umberpond_config::Entry;
 use umberpond_model::LocalityRule;
@@ -55,7 +55,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_key_whose_request_did_not_run_may_come_again() {
-    const NOT_RUN: Act = Act::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
+    const NOT_RUN: ScriptedResponse =
+        ScriptedResponse::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
     let world = World::with_routes(vec![vec![NOT_RUN, ok("a")]]).await;
     let mut caller = world.caller().await;
     caller.write(keyed("r1", "k")).await;
--- a/crates/forwarding/tests/rejections.rs
+++ b/crates/forwarding/tests/rejections.rs
@@ -3,19 +3,20 @@
 
 mod support;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::{SLOTS, World, pause};
 use umberpond_telemetry::Event;
 
-const REJECTED: Act = Act::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
-const SPOILED: Act = Act::RawThenClose("this is no answer\r\n\r\n");
+const REJECTED: ScriptedResponse =
+    ScriptedResponse::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
+const SPOILED: ScriptedResponse = ScriptedResponse::RawThenClose("this is no answer\r\n\r\n");
 /// Back ends that may run one request, by the routes of the tests.
 const ATTEMPTS: usize = 2;
 /// Most back ends at which a request arrives.
 const MAX_ARRIVALS: usize = 4;
 
 /// One back end that does as told, beside `count` that turn everything away.
-async fn world(count: usize, act: Act) -> World {
+async fn world(count: usize, act: ScriptedResponse) -> World {
     let mut scripts = vec![vec![REJECTED]; count];
     scripts.push(vec![act]);
     World::with_routes(scripts).await
@@ -65,7 +66,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_rejection_with_slots_free_and_one_without_have_reasons_of_their_own() {
-    const SLOW_REJECTED: Act = Act::Slowly {
+    const SLOW_REJECTED: ScriptedResponse = ScriptedResponse::Slowly {
         first: "",
         second: "HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n",
         after: 50,
--- a/crates/forwarding/tests/slowdown.rs
+++ b/crates/forwarding/tests/slowdown.rs
@@ -4,7 +4,7 @@
 
 use std::net::SocketAddr;
 
-use support::back_end::Act;
+use support::back_end::ScriptedResponse;
 use support::{BACK_END_PORT, World, host};
 use umberpond_forwarding::ReportedSlowdown;
 use umberpond_telemetry::Event;
@@ -15,8 +15,8 @@
 const USUAL: &str = "umberpond-load: 1,0,2,100\r\nContent-Length: 1\r\n\r\na";
 const SLOW: &str = "umberpond-load: 1,0,2,900\r\nContent-Length: 1\r\n\r\na";
 
-const fn telling(rest: &'static str) -> Act {
-    Act::Slowly { first: BEGINNING, second: rest, after: WORK_MILLIS }
+const fn telling(rest: &'static str) -> ScriptedResponse {
+    ScriptedResponse::Slowly { first: BEGINNING, second: rest, after: WORK_MILLIS }
 }
 
 /// Reads `/read/a` once for each of `count` acts.
@@ -104,7 +104,7 @@
 /// Each answer is compared with what was expected of it, and what made the difference is told.
 #[tokio::test(start_paused = true)]
 async fn answers_are_counted_by_how_long_they_took_of_the_time_expected() {
-    let slow = Act::Slowly { first: BEGINNING, second: USUAL, after: 8 * WORK_MILLIS };
+    let slow = ScriptedResponse::Slowly { first: BEGINNING, second: USUAL, after: 8 * WORK_MILLIS };
     let world = World::with_routes(vec![[vec![telling(USUAL); 10], vec![slow]].concat()]).await;
     ask(&world, "a", 10).await;
     let has = |line: &str| world.telemetry.metrics().encode().lines().any(|found| found == line);
--- a/crates/forwarding/tests/support/back_end.rs
+++ b/crates/forwarding/tests/support/back_end.rs
@@ -12,12 +12,12 @@
 
 /// What a back end does with one request.
 #[derive(Debug, Clone)]
-pub enum Act {
+pub enum ScriptedResponse {
     /// Answers with this status and body after some milliseconds.
     Answer { status: u16, body: &'static str, after: u64 },
     /// Writes this in place of an answer; `{id}` stands for the request's identity. The connection stays.
     Raw(&'static str),
-    /// As [`Act::Raw`], and ends the connection.
+    /// As [`ScriptedResponse::Raw`], and ends the connection.
     RawThenClose(&'static str),
     /// Writes the first part at once, and the second after some milliseconds.
     Slowly { first: &'static str, second: &'static str, after: u64 },
@@ -28,11 +28,11 @@
 }
 
 /// The acts by the count of requests so far; the last one is repeated.
-pub type Script = Vec<Act>;
+pub type Script = Vec<ScriptedResponse>;
 
 /// A success with a body, at once.
-pub const fn ok(body: &'static str) -> Act {
-    Act::Answer { status: 200, body, after: 5 }
+pub const fn ok(body: &'static str) -> ScriptedResponse {
+    ScriptedResponse::Answer { status: 200, body, after: 5 }
 }
 
 /// A request as the back end saw it.
@@ -130,7 +130,7 @@
         };
         let at = Instant::now();
         let mut body = Vec::new();
-        if !matches!(act, Act::EarlyAnswer { .. }) {
+        if !matches!(act, ScriptedResponse::EarlyAnswer { .. }) {
             let mut decoder = BodyDecoder::new(request_framing(&head).unwrap());
             match reader.whole_body(&mut decoder, 1 << 20).await {
                 Ok(Some(whole)) => body = whole.to_vec(),
@@ -140,7 +140,7 @@
         let id = head.fields.text("umberpond-request").unwrap_or_default().to_owned();
         state.lock().seen.push(Seen { head, body, at, connection });
         match act {
-            Act::Answer { status, body, after } => {
+            ScriptedResponse::Answer { status, body, after } => {
                 tokio::select! {
                     biased;
                     () = reader.peer_gone(1) => return,
@@ -151,24 +151,26 @@
                     return;
                 }
             }
-            Act::EarlyAnswer { status, body } => {
+            ScriptedResponse::EarlyAnswer { status, body } => {
                 writer.write_all(answer(status, body, &id, instance).as_bytes()).await.unwrap();
                 reader.peer_gone(usize::MAX).await;
                 return;
             }
-            Act::Slowly { first, second, after } => {
+            ScriptedResponse::Slowly { first, second, after } => {
                 writer.write_all(first.replace("{id}", &id).as_bytes()).await.unwrap();
                 sleep(Duration::from_millis(after)).await;
                 if writer.write_all(second.as_bytes()).await.is_err() {
                     return;
                 }
             }
-            Act::Raw(raw) => writer.write_all(raw.replace("{id}", &id).as_bytes()).await.unwrap(),
-            Act::RawThenClose(raw) => {
+            ScriptedResponse::Raw(raw) => {
+                writer.write_all(raw.replace("{id}", &id).as_bytes()).await.unwrap()
+            }
+            ScriptedResponse::RawThenClose(raw) => {
                 writer.write_all(raw.replace("{id}", &id).as_bytes()).await.unwrap();
                 return;
             }
-            Act::Silence => {
+            ScriptedResponse::Silence => {
                 reader.peer_gone(usize::MAX).await;
                 return;
             }
