--- a/crates/forwarding/tests/bodies.rs
+++ b/crates/forwarding/tests/bodies.rs
@@ -205,7 +205,7 @@
 /// Moves the first node to another zone than that of the callers.
 fn move_away(world: &mut World) {
     world.served[0].endpoint.locality.zone = "b".parse().unwrap();
-    world.tell_endpoints();
+    world.publish_endpoints();
 }
 
 /// Bytes between zones are dear, and in overload most of what is sent there is refused.
--- a/crates/forwarding/tests/places.rs
+++ b/crates/forwarding/tests/places.rs
@@ -11,7 +11,7 @@
 async fn a_request_is_served_only_where_the_configuration_allows() {
     let mut world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     world.served[1].endpoint.locality.region = name("south");
-    world.tell_endpoints();
+    world.publish_endpoints();
     let mut changed = snapshot();
     let mut archive = (**changed.services.get("archive").unwrap()).clone();
     archive.allowed = vec![LocalityRule { region: name("south"), zone: None }];
--- a/crates/forwarding/tests/support/fleet.rs
+++ b/crates/forwarding/tests/support/fleet.rs
@@ -122,7 +122,7 @@
             let node = fleet.start_node(number, 1).await;
             fleet.nodes.lock().push(node);
         }
-        fleet.tell_endpoints();
+        fleet.publish_endpoints();
         fleet.tell_count();
         fleet
     }
@@ -149,7 +149,7 @@
         };
         let node = self.start_node(number, lives).await;
         self.nodes.lock()[number] = node;
-        self.tell_endpoints();
+        self.publish_endpoints();
         let fleet = self.clone();
         tokio::spawn(async move {
             sleep(LONELY_TIME).await;
@@ -188,7 +188,7 @@
         caller.read().await.map_or(0, |answer| answer.status)
     }
 
-    fn tell_endpoints(&self) {
+    fn publish_endpoints(&self) {
         let nodes = self.nodes.lock();
         for service in ["desk", "ledger"] {
             let of_service = nodes.iter().enumerate().filter(|(number, _)| service_of(*number) == service);
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -187,7 +187,7 @@
         for script in scripts {
             world.add_node(script, &telemetry).await;
         }
-        world.tell_endpoints();
+        world.publish_endpoints();
         world
     }
 
@@ -235,7 +235,7 @@
     }
 
     /// Tells the callers' node all endpoints.
-    pub fn tell_endpoints(&self) {
+    pub fn publish_endpoints(&self) {
         let endpoints = self.served.iter().map(|served| served.endpoint.clone()).collect();
         self.outbound.set_endpoints(&name::<ServiceName>("archive"), endpoints);
     }
