--- a/crates/forwarding/tests/calls.rs
+++ b/crates/forwarding/tests/calls.rs
@@ -48,7 +48,7 @@
     let chain = Chain::start(SLOW, CALL_TIME).await;
     chain.send("w", PER_SECOND, Duration::from_secs(3)).await;
     chain.network.kill(support::host(SLOW.host));
-    chain.serve_calls_by(FAST).await;
+    chain.replace_called_back_end(FAST).await;
     chain.send("o", PER_SECOND, Duration::from_secs(5)).await;
     let outcomes = chain.send("r", PER_SECOND, Duration::from_secs(2)).await;
     assert_eq!(count(&outcomes, 503, "calls-overloaded"), 0);
--- a/crates/forwarding/tests/support/chain.rs
+++ b/crates/forwarding/tests/support/chain.rs
@@ -80,12 +80,12 @@
         let table = RoutingTable::compile(Version(1), &snapshot(called_time), &OpenedSecrets::new(), &caller);
         own.0.activate(Arc::new(table.unwrap())).unwrap();
         *chain.desk.lock() = Some(own.0);
-        chain.serve_calls_by(called).await;
+        chain.replace_called_back_end(called).await;
         chain
     }
 
     /// Starts a back end of the called service, which serves all calls from now on.
-    pub async fn serve_calls_by(&self, called: Called) {
+    pub async fn replace_called_back_end(&self, called: Called) {
         let (_, endpoint) = self.start_node("ledger", called.host, called.slots, called.work).await;
         let desk = self.desk.lock();
         desk.as_ref().unwrap().set_endpoints(&name::<ServiceName>("ledger"), vec![endpoint]);
