--- a/crates/daemon/src/back_end/announcement.rs
+++ b/crates/daemon/src/back_end/announcement.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-use umberpond_model::{BackEndLife, ReleaseName, ServiceName};
+use umberpond_model::{BackEndProcess, ReleaseName, ServiceName};
 
 /// State of a back end by its own word.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
     /// Its present life.
-    pub life: BackEndLife,
+    pub life: BackEndProcess,
     /// Service that it serves.
     pub service: ServiceName,
     /// Version of its software.
--- a/crates/daemon/src/back_end/check.rs
+++ b/crates/daemon/src/back_end/check.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::{MissedTickBehavior, interval};
 use umberpond_forwarding::BackEnd;
-use umberpond_model::{BackEndLife, ServiceName};
+use umberpond_model::{BackEndProcess, ServiceName};
 
 use super::monitor::BackEndMonitor;
 
@@ -42,7 +42,7 @@
         let Some(health) = monitor.inbound().probe_health(settings.address, &path).await else {
             failures += 1;
             if failures == settings.failures {
-                monitor.unreachable(&BackEndLife::of(&instance));
+                monitor.unreachable(&BackEndProcess::of(&instance));
             }
             continue;
         };
@@ -50,7 +50,7 @@
         instance = health.instance.unwrap_or_else(|| UNNAMED.to_owned());
         let configured = monitor.configured_slots(&settings.service);
         monitor.confirm(BackEnd {
-            life: BackEndLife::of(&instance),
+            life: BackEndProcess::of(&instance),
             service: settings.service.clone(),
             release: None,
             address: settings.address,
--- a/crates/daemon/src/back_end/lives.rs
+++ b/crates/daemon/src/back_end/lives.rs
@@ -5,7 +5,7 @@
 
 use umberpond_forwarding::BackEnd;
 use umberpond_membership::{BackEndRecord, BackEndState};
-use umberpond_model::BackEndLife;
+use umberpond_model::BackEndProcess;
 
 use super::announcement::{AnnouncedState, Announcement};
 
@@ -64,7 +64,7 @@
 /// A life that is over.
 #[derive(Debug, Clone)]
 struct EndedLife {
-    life: BackEndLife,
+    life: BackEndProcess,
     /// Count of its last announcement.
     sequence: Option<u64>,
     /// Whether it has said that it leaves or ends; otherwise another one has come in its place.
@@ -111,7 +111,7 @@
     }
 
     /// Takes in that `life` ends.
-    pub fn on_withdrawn(&mut self, life: &BackEndLife) -> Effect {
+    pub fn on_withdrawn(&mut self, life: &BackEndProcess) -> Effect {
         let Some(present) = self.present.as_mut().filter(|present| present.back_end.life.may_be(life)) else {
             self.end(EndedLife { life: life.clone(), sequence: None, has_left: true });
             return Effect::None;
@@ -145,7 +145,7 @@
                     life.back_end = back_end;
                 }
                 Effect::Open(BackEnd {
-                    life: BackEndLife::of(&life.back_end.life.instance),
+                    life: BackEndProcess::of(&life.back_end.life.instance),
                     ..life.back_end.clone()
                 })
             }
@@ -166,14 +166,14 @@
     }
 
     /// Takes in that `life` is cold for so long, by its own word.
-    pub fn on_cold(&mut self, now: Instant, told: &BackEndLife, cold_for: Duration) {
+    pub fn on_cold(&mut self, now: Instant, told: &BackEndProcess, cold_for: Duration) {
         if let Some(life) = self.present.as_mut().filter(|life| life.back_end.life.may_be(told)) {
             life.cold_until = now + cold_for;
         }
     }
 
     /// Takes in that the back end can't be reached by its node.
-    pub fn on_unreachable(&mut self, told: &BackEndLife) -> Effect {
+    pub fn on_unreachable(&mut self, told: &BackEndProcess) -> Effect {
         match &mut self.present {
             Some(life) if life.back_end.life.may_be(told) && life.state == BackEndState::Ready => {
                 life.state = BackEndState::Unreachable;
@@ -258,7 +258,7 @@
 
     /// Whether a life that does not seem to be the present one may have come after it: it began later, or the present one is known to be out of reach, or has been silent for
     /// longer than a word of an earlier life is late.
-    fn may_be_followed_by(&self, now: Instant, life: &BackEndLife) -> bool {
+    fn may_be_followed_by(&self, now: Instant, life: &BackEndProcess) -> bool {
         let Some(present) = &self.present else { return true };
         let is_silent = now.saturating_duration_since(present.heard_at) > LATEST_WORD;
         let is_over = present.state == BackEndState::Unreachable || is_silent;
@@ -302,14 +302,14 @@
     }
 
     /// Whether this life, of which the start was never told, has said that it leaves for so long that a word with a start is of the next one.
-    fn has_surely_left(&self, now: Instant, told: &BackEndLife) -> bool {
+    fn has_surely_left(&self, now: Instant, told: &BackEndProcess) -> bool {
         let is_silent = now.saturating_duration_since(self.heard_at) > LATEST_WORD;
         let tells_more = self.back_end.life.born.is_none() && told.born.is_some();
         self.state == BackEndState::Draining && tells_more && is_silent
     }
 
     /// Takes in when this life began, if that is told.
-    fn learn_start(&mut self, told: &BackEndLife) {
+    fn learn_start(&mut self, told: &BackEndProcess) {
         if told.born.is_some() {
             self.back_end.life = told.clone();
         }
--- a/crates/daemon/src/back_end/monitor.rs
+++ b/crates/daemon/src/back_end/monitor.rs
@@ -8,7 +8,7 @@
 use tokio::time::{Instant, sleep};
 use umberpond_forwarding::{BackEnd, Inbound};
 use umberpond_membership::BackEndRecord;
-use umberpond_model::{BackEndLife, ServiceName};
+use umberpond_model::{BackEndProcess, ServiceName};
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::announcement::Announcement;
@@ -57,7 +57,7 @@
     }
 
     /// Takes in that `life` ends. When this returns, that is in force on this node.
-    pub fn withdraw(self: &Arc<Self>, life: &BackEndLife) {
+    pub fn withdraw(self: &Arc<Self>, life: &BackEndProcess) {
         let effect = self.lives.lock().on_withdrawn(life);
         self.carry_out(effect);
     }
@@ -75,7 +75,7 @@
     }
 
     /// Takes in that `life` has said, asked by this process, that it is cold for so long.
-    pub(crate) fn on_cold(self: &Arc<Self>, life: &BackEndLife, cold_for: Duration) {
+    pub(crate) fn on_cold(self: &Arc<Self>, life: &BackEndProcess, cold_for: Duration) {
         if cold_for.is_zero() {
             return;
         }
@@ -94,7 +94,7 @@
     }
 
     /// Takes in that the back end can't be reached.
-    pub(crate) fn unreachable(self: &Arc<Self>, life: &BackEndLife) {
+    pub(crate) fn unreachable(self: &Arc<Self>, life: &BackEndProcess) {
         let effect = self.lives.lock().on_unreachable(life);
         if effect != Effect::None {
             let reason = "it can't be reached".to_owned();
--- a/crates/daemon/src/back_end/probe.rs
+++ b/crates/daemon/src/back_end/probe.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::sleep;
 use umberpond_forwarding::BackEnd;
-use umberpond_model::{BackEndLife, ServiceName};
+use umberpond_model::{BackEndProcess, ServiceName};
 
 use super::monitor::BackEndMonitor;
 
@@ -25,7 +25,7 @@
             if let Some(health) = health
                 && let (Some(instance), Some(slots)) = (health.instance, health.slots)
             {
-                let life = BackEndLife::of(&instance);
+                let life = BackEndProcess::of(&instance);
                 monitor.confirm(BackEnd { life: life.clone(), service, release: None, address, slots });
                 monitor.on_cold(&life, health.cold_for);
                 return;
--- a/crates/daemon/tests/lives.rs
+++ b/crates/daemon/tests/lives.rs
@@ -6,11 +6,11 @@
 use umberpond_daemon::back_end::{AnnouncedState, Announcement, BackEndLives, CloseReason, Effect};
 use umberpond_forwarding::BackEnd;
 use umberpond_membership::BackEndState;
-use umberpond_model::BackEndLife;
+use umberpond_model::BackEndProcess;
 
 fn announcement(instance: &str, state: AnnouncedState, sequence: u64) -> Announcement {
     Announcement {
-        life: BackEndLife::of(instance),
+        life: BackEndProcess::of(instance),
         release: None,
         service: "archive".parse().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
@@ -31,7 +31,7 @@
 
 fn back_end(instance: &str) -> BackEnd {
     BackEnd {
-        life: BackEndLife::of(instance),
+        life: BackEndProcess::of(instance),
         release: None,
         service: "archive".parse().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
@@ -68,7 +68,7 @@
     let now = Instant::now();
     let mut lives = BackEndLives::new(false);
     lives.on_announcement(now, &ready("a", 1));
-    assert_eq!(lives.on_withdrawn(&BackEndLife::of("a")), Effect::Close(CloseReason::Ends));
+    assert_eq!(lives.on_withdrawn(&BackEndProcess::of("a")), Effect::Close(CloseReason::Ends));
     assert_eq!(lives.on_announcement(now, &ready("a", 2)), Effect::None);
     assert_eq!(lives.on_confirmed(now, back_end("a")), Effect::None);
     assert_eq!(state(&lives), Some(BackEndState::Draining));
@@ -81,7 +81,7 @@
     lives.on_announcement(now, &ready("a", 7));
     assert_eq!(lives.on_announcement(now, &ready("b", 1)), Effect::Open(back_end("b")));
     assert_eq!(lives.on_announcement(now, &ready("a", 8)), Effect::None, "late words of an ended life");
-    assert_eq!(lives.on_withdrawn(&BackEndLife::of("a")), Effect::None);
+    assert_eq!(lives.on_withdrawn(&BackEndProcess::of("a")), Effect::None);
     assert_eq!(state(&lives), Some(BackEndState::Ready));
 }
 
@@ -109,8 +109,8 @@
     let now = Instant::now();
     let mut lives = BackEndLives::new(false);
     lives.on_announcement(now, &ready("a", 1));
-    assert_eq!(lives.on_unreachable(&BackEndLife::of("a")), Effect::Confirm(back_end("a")));
-    assert_eq!(lives.on_unreachable(&BackEndLife::of("a")), Effect::None, "it is being asked already");
+    assert_eq!(lives.on_unreachable(&BackEndProcess::of("a")), Effect::Confirm(back_end("a")));
+    assert_eq!(lives.on_unreachable(&BackEndProcess::of("a")), Effect::None, "it is being asked already");
     assert_eq!(lives.on_announcement(now, &ready("a", 2)), Effect::Confirm(back_end("a")));
     assert_eq!(lives.on_confirmed(now, back_end("a")), Effect::Open(back_end("a")));
 }
@@ -130,15 +130,15 @@
 }
 
 /// The life of `instance` that began at `born`.
-fn life(instance: &str, born: u64) -> BackEndLife {
-    BackEndLife { instance: instance.to_owned(), born: Some(born) }
+fn life(instance: &str, born: u64) -> BackEndProcess {
+    BackEndProcess { instance: instance.to_owned(), born: Some(born) }
 }
 
-fn ready_in(life: &BackEndLife, sequence: u64) -> Announcement {
+fn ready_in(life: &BackEndProcess, sequence: u64) -> Announcement {
     Announcement { life: life.clone(), ..ready("a", sequence) }
 }
 
-fn open_in(life: &BackEndLife) -> Effect {
+fn open_in(life: &BackEndProcess) -> Effect {
     Effect::Open(BackEnd { life: life.clone(), ..back_end("a") })
 }
 
@@ -194,7 +194,7 @@
     for tells_start in [true, false] {
         let mut lives = BackEndLives::new(true);
         lives.on_confirmed(now, back_end("a"));
-        let leaving = if tells_start { first.clone() } else { BackEndLife::of("a") };
+        let leaving = if tells_start { first.clone() } else { BackEndProcess::of("a") };
         assert_eq!(lives.on_withdrawn(&leaving), Effect::Close(CloseReason::Ends));
         assert_eq!(lives.on_announcement(now, &ready_in(&first, 7)), Effect::None, "a late word");
         let later = now + Duration::from_secs(7);
@@ -244,7 +244,7 @@
             let instance = ["a", "b", "c"][number];
             let effect = match kind % 4 {
                 0 => lives.on_announcement(now, &draining(instance, u64::from(sequence))),
-                1 => lives.on_withdrawn(&BackEndLife::of(instance)),
+                1 => lives.on_withdrawn(&BackEndProcess::of(instance)),
                 2 => lives.on_confirmed(now, back_end(instance)),
                 _ => lives.on_announcement(now, &ready(instance, u64::from(sequence))),
             };
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -9,7 +9,7 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use umberpond_model::{BackEndLife, RegionName, ReleaseName, RequestRate, ServiceName};
+use umberpond_model::{BackEndProcess, RegionName, ReleaseName, RequestRate, ServiceName};
 use umberpond_net::Network;
 use umberpond_rollouts::{AnswerTally, RouteTally};
 use umberpond_scheduling::{ColdStartLimiter, DuplicateWindow, LoadReport};
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackEnd {
     /// This life of it.
-    pub life: BackEndLife,
+    pub life: BackEndProcess,
     /// Service that it serves.
     pub service: ServiceName,
     /// Version of its software; absent if it has not told it.
@@ -95,7 +95,7 @@
     pub(super) link: BodyLink,
     pub(super) current: Mutex<Option<Current>>,
     pub(super) duplicates: Mutex<DuplicateWindow>,
-    unreachable: Mutex<Option<mpsc::UnboundedSender<BackEndLife>>>,
+    unreachable: Mutex<Option<mpsc::UnboundedSender<BackEndProcess>>>,
     /// Whether the configuration in force lets the back end's service be served where this node runs.
     pub(super) may_serve: AtomicBool,
     /// Whose requests are taken; absent before the first configuration.
@@ -158,7 +158,7 @@
     }
 
     /// The lives of the back end that could not be reached, from now on.
-    pub fn watch_unreachable(&self) -> mpsc::UnboundedReceiver<BackEndLife> {
+    pub fn watch_unreachable(&self) -> mpsc::UnboundedReceiver<BackEndProcess> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.unreachable.lock() = Some(sender);
         receiver
@@ -363,7 +363,7 @@
         self.quarantine.on_crash(report.crash, &report.requests);
     }
 
-    pub(super) fn tell_unreachable(&self, life: &BackEndLife) {
+    pub(super) fn tell_unreachable(&self, life: &BackEndProcess) {
         if let Some(watcher) = &*self.unreachable.lock() {
             // Nobody watches any more when the process leaves.
             let _ = watcher.send(life.clone());
--- a/crates/forwarding/tests/bodies.rs
+++ b/crates/forwarding/tests/bodies.rs
@@ -27,7 +27,7 @@
 fn widen(world: &World, slots: u32) {
     let served = &world.served[0];
     served.inbound.open(BackEnd {
-        life: umberpond_model::BackEndLife::of(&served.endpoint.instance),
+        life: umberpond_model::BackEndProcess::of(&served.endpoint.instance),
         release: None,
         service: "archive".parse().unwrap(),
         address: std::net::SocketAddr::new(host(10), support::BACK_END_PORT),
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -8,7 +8,7 @@
 use support::{SLOTS, World, name, pause};
 use tokio::time::Instant;
 use umberpond_forwarding::{BackEnd, ServerPhase};
-use umberpond_model::BackEndLife;
+use umberpond_model::BackEndProcess;
 
 #[tokio::test(start_paused = true)]
 async fn a_closed_back_end_gets_nothing_more_and_finishes_what_it_holds() {
@@ -59,7 +59,7 @@
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let other = BackEnd {
-        life: BackEndLife::of("another"),
+        life: BackEndProcess::of("another"),
         service: name("billing"),
         release: None,
         address,
@@ -75,7 +75,7 @@
     let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     let nowhere = "10.0.0.10:999".parse().unwrap();
     let gone = BackEnd {
-        life: BackEndLife::of("life-10"),
+        life: BackEndProcess::of("life-10"),
         service: name("archive"),
         release: None,
         address: nowhere,
@@ -86,7 +86,7 @@
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/write/a", &format!("r{number}")).await.text(), "b");
     }
-    assert_eq!(unreachable.recv().await, Some(BackEndLife::of("life-10")));
+    assert_eq!(unreachable.recv().await, Some(BackEndProcess::of("life-10")));
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/forwarding/tests/support/chain.rs
+++ b/crates/forwarding/tests/support/chain.rs
@@ -15,7 +15,7 @@
     RoutingTable, ServerControl, serve_inbound, serve_outbound,
 };
 use umberpond_http1::{MessageReader, ReadLimits, RequestHead};
-use umberpond_model::{BackEndLife, Millis, ServiceName, Version};
+use umberpond_model::{BackEndProcess, Millis, ServiceName, Version};
 use umberpond_net::BoxStream;
 use umberpond_selection::Endpoint;
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
@@ -158,7 +158,7 @@
             }
         });
         let instance = format!("life-{at}");
-        let life = BackEndLife::of(&instance);
+        let life = BackEndProcess::of(&instance);
         inbound.open(BackEnd { life, service: name(of), release: None, address, slots });
         let address = SocketAddr::new(host(at), INBOUND_PORT);
         let listener = network.listen(address).await.unwrap();
--- a/crates/forwarding/tests/support/fleet.rs
+++ b/crates/forwarding/tests/support/fleet.rs
@@ -17,7 +17,7 @@
     RoutingTable, ServerControl, serve_inbound, serve_outbound,
 };
 use umberpond_http1::{MessageReader, ReadLimits};
-use umberpond_model::{BackEndLife, Millis, ServiceName, Version};
+use umberpond_model::{BackEndProcess, Millis, ServiceName, Version};
 use umberpond_net::{BoxStream, Network};
 use umberpond_selection::{Endpoint, RetryBudgetSettings};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
@@ -230,7 +230,7 @@
         );
         let instance = format!("life-{number}");
         let back_end = BackEnd {
-            life: BackEndLife::of(&instance),
+            life: BackEndProcess::of(&instance),
             service: name(service_of(number)),
             release: None,
             address: SocketAddr::new(host(address_of(number)), BACK_END_PORT),
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -19,7 +19,7 @@
     BackEnd, HeaderMatcher, HeaderProfile, Inbound, InboundSettings, OpenedSecrets, Outbound,
     OutboundIdentity, OutboundSettings, RoutingTable, ServerControl, serve_inbound, serve_outbound,
 };
-use umberpond_model::{BackEndLife, Locality, Millis, ServiceName, Version};
+use umberpond_model::{BackEndProcess, Locality, Millis, ServiceName, Version};
 use umberpond_net::Network;
 use umberpond_selection::{Endpoint, RetryBudgetSettings};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
@@ -213,7 +213,7 @@
         let at = SocketAddr::new(host(number), BACK_END_PORT);
         let back_end = ScriptedBackEnd::start(&network, at, &instance, script).await;
         inbound.open(BackEnd {
-            life: BackEndLife::of(&instance),
+            life: BackEndProcess::of(&instance),
             service: name("archive"),
             release: None,
             address: at,
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -20,7 +20,7 @@
 pub use hash::ContentHash;
 pub use homes::HomeRegions;
 pub use incarnation::Incarnation;
-pub use life::BackEndLife;
+pub use life::BackEndProcess;
 pub use locality::{Locality, LocalityRule};
 pub use names::{
     BundleName, InvalidName, MAX_NAME_BYTES, NodeName, RegionName, ReleaseName, RouteName, SecretName,
--- a/crates/model/src/life.rs
+++ b/crates/model/src/life.rs
@@ -5,14 +5,14 @@
 /// One life of a back end, from a start of its process to its end. A back end may start again under the identity that it had; when the life began tells the
 /// two apart.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct BackEndLife {
+pub struct BackEndProcess {
     /// Identity of the back end.
     pub instance: String,
     /// Unix milliseconds of its start by the clock of its own machine; absent if it does not tell.
     pub born: Option<u64>,
 }
 
-impl BackEndLife {
+impl BackEndProcess {
     /// The life of the back end called `instance` that does not tell when it began.
     #[must_use]
     pub fn of(instance: &str) -> Self {
@@ -33,7 +33,7 @@
     }
 }
 
-impl fmt::Display for BackEndLife {
+impl fmt::Display for BackEndProcess {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.instance)?;
         self.born.map_or(Ok(()), |born| write!(formatter, "@{born}"))
