--- a/crates/daemon/src/back_end/lives.rs
+++ b/crates/daemon/src/back_end/lives.rs
@@ -112,7 +112,8 @@
 
     /// Takes in that `life` ends.
     pub fn on_withdrawn(&mut self, life: &BackEndProcess) -> Effect {
-        let Some(present) = self.present.as_mut().filter(|present| present.back_end.life.may_be(life)) else {
+        let Some(present) = self.present.as_mut().filter(|present| present.back_end.life.may_equal(life))
+        else {
             self.end(EndedLife { life: life.clone(), sequence: None, has_left: true });
             return Effect::None;
         };
@@ -126,8 +127,9 @@
 
     /// Takes in that `back_end` has just said, asked by this process, that it is well. It does not say which life of it that is.
     pub fn on_confirmed(&mut self, now: Instant, back_end: BackEnd) -> Effect {
-        let is_present = self.present.as_ref().is_some_and(|life| life.back_end.life.may_be(&back_end.life));
-        if !is_present && self.ended.iter().any(|ended| ended.life.may_be(&back_end.life)) {
+        let is_present =
+            self.present.as_ref().is_some_and(|life| life.back_end.life.may_equal(&back_end.life));
+        if !is_present && self.ended.iter().any(|ended| ended.life.may_equal(&back_end.life)) {
             return Effect::None;
         }
         self.may_be_leaving = false;
@@ -167,7 +169,7 @@
 
     /// Takes in that `life` is cold for so long, by its own word.
     pub fn on_cold(&mut self, now: Instant, told: &BackEndProcess, cold_for: Duration) {
-        if let Some(life) = self.present.as_mut().filter(|life| life.back_end.life.may_be(told)) {
+        if let Some(life) = self.present.as_mut().filter(|life| life.back_end.life.may_equal(told)) {
             life.cold_until = now + cold_for;
         }
     }
@@ -175,7 +177,7 @@
     /// Takes in that the back end can't be reached by its node.
     pub fn on_unreachable(&mut self, told: &BackEndProcess) -> Effect {
         match &mut self.present {
-            Some(life) if life.back_end.life.may_be(told) && life.state == BackEndState::Ready => {
+            Some(life) if life.back_end.life.may_equal(told) && life.state == BackEndState::Ready => {
                 life.state = BackEndState::Unreachable;
                 Effect::Confirm(life.back_end.clone())
             }
@@ -298,7 +300,7 @@
         let (known, told) = (&self.back_end.life, &announcement.life);
         let may_have_changed =
             self.is_reopened && known.instance == told.instance && !told.began_before(known);
-        (known.may_be(told) || may_have_changed) && !self.has_surely_left(now, told)
+        (known.may_equal(told) || may_have_changed) && !self.has_surely_left(now, told)
     }
 
     /// Whether this life, of which the start was never told, has said that it leaves for so long that a word with a start is of the next one.
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -168,7 +168,7 @@
     pub fn open(&self, back_end: BackEnd) {
         let mut current = self.current.lock();
         let is_same = current.as_ref().is_some_and(|held| {
-            held.back_end.life.may_be(&back_end.life) && held.back_end.address == back_end.address
+            held.back_end.life.may_equal(&back_end.life) && held.back_end.address == back_end.address
         });
         if !is_same {
             self.admission.close();
--- a/crates/model/src/life.rs
+++ b/crates/model/src/life.rs
@@ -21,7 +21,7 @@
 
     /// Whether this and `other` may be the same life. One that is not known to have begun at some time may be any.
     #[must_use]
-    pub fn may_be(&self, other: &Self) -> bool {
+    pub fn may_equal(&self, other: &Self) -> bool {
         let tells_apart = self.born.is_some() && other.born.is_some();
         self.instance == other.instance && (!tells_apart || self.born == other.born)
     }
