--- a/crates/daemon/src/back_end/lives.rs
+++ b/crates/daemon/src/back_end/lives.rs
@@ -264,7 +264,7 @@
         let Some(present) = &self.present else { return true };
         let is_silent = now.saturating_duration_since(present.heard_at) > LATEST_WORD;
         let is_over = present.state == BackEndState::Unreachable || is_silent;
-        is_over || !life.began_before(&present.back_end.life)
+        is_over || !life.started_before(&present.back_end.life)
     }
 
     /// Whether an announcement is a late one of a life that is over. One that was taken for over and goes on speaking, though it began after the present one, is not.
@@ -272,7 +272,7 @@
         let is_meant = |ended: &&EndedLife| ended.life == announcement.life;
         let Some(ended) = self.ended.iter().find(is_meant) else { return false };
         let present = self.present.as_ref().map(|present| &present.back_end.life);
-        let began_after = present.is_some_and(|present| present.began_before(&ended.life));
+        let began_after = present.is_some_and(|present| present.started_before(&ended.life));
         let goes_on = ended.sequence.is_some_and(|known| announcement.sequence > known);
         ended.has_left || !began_after || !goes_on
     }
@@ -299,7 +299,7 @@
     fn may_say(&self, now: Instant, announcement: &Announcement) -> bool {
         let (known, told) = (&self.back_end.life, &announcement.life);
         let may_have_changed =
-            self.is_reopened && known.instance == told.instance && !told.began_before(known);
+            self.is_reopened && known.instance == told.instance && !told.started_before(known);
         (known.may_equal(told) || may_have_changed) && !self.has_surely_left(now, told)
     }
 
--- a/crates/model/src/life.rs
+++ b/crates/model/src/life.rs
@@ -28,7 +28,7 @@
 
     /// Whether this began before `other`, by the clocks of their machines; `false` if that is not known.
     #[must_use]
-    pub fn began_before(&self, other: &Self) -> bool {
+    pub fn started_before(&self, other: &Self) -> bool {
         self.born.zip(other.born).is_some_and(|(one, other)| one < other)
     }
 }
