--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 use umberpond_http1::Fields;
-use umberpond_model::{HomeRegions, ServiceName, TenantName, TenantNumber};
+use umberpond_model::{HomeRegions, ServiceName, TenantId, TenantName};
 use umberpond_quarantine::{RequestFingerprint, RequestKey};
 use umberpond_scheduling::{CallLevel, LoadReport};
 
@@ -113,7 +113,7 @@
 #[derive(Debug, Encode, Decode)]
 struct HopCall {
     level: CallLevel,
-    tenant: Option<TenantNumber>,
+    tenant: Option<TenantId>,
 }
 
 impl HopCall {
--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -10,7 +10,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until, timeout_at};
-use umberpond_model::{RequestRate, TenantNumber};
+use umberpond_model::{RequestRate, TenantId};
 use umberpond_scheduling::{
     ColdStartLimiter, Decision, Dequeued, InvalidSlowdown, LoadReport, Refusal, TenantUsage, Ticket,
     WorkItem, WorkQueue,
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy)]
 struct SlotHolder {
     /// Whose request it is; absent if of none.
-    tenant: Option<TenantNumber>,
+    tenant: Option<TenantId>,
     is_call: bool,
 }
 
@@ -255,7 +255,7 @@
     }
 
     /// How a tenant stands; absent if none of its requests has waited of late.
-    pub(super) fn standing(&self, tenant: TenantNumber) -> Option<TenantUsage> {
+    pub(super) fn standing(&self, tenant: TenantId) -> Option<TenantUsage> {
         self.state.lock().queue.standing(now(), tenant)
     }
 
--- a/crates/forwarding/src/inbound/admission/tests.rs
+++ b/crates/forwarding/src/inbound/admission/tests.rs
@@ -5,19 +5,19 @@
 
 use tokio::task::JoinHandle;
 use tokio::time::sleep;
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 use umberpond_scheduling::{Refusal, WorkItem};
 
 use super::{Admission, now};
 
-const GREEDY: TenantNumber = TenantNumber(0);
-const OTHER: TenantNumber = TenantNumber(1);
+const GREEDY: TenantId = TenantId(0);
+const OTHER: TenantId = TenantId(1);
 /// Requests that may wait before one slot.
 const FULL: usize = 20;
 const TIME: Duration = Duration::from_secs(20);
 const MOMENT: Duration = Duration::from_millis(1);
 
-fn item(tenant: Option<TenantNumber>) -> WorkItem {
+fn item(tenant: Option<TenantId>) -> WorkItem {
     WorkItem {
         priority: 1,
         objective_at: now() + TIME,
@@ -32,7 +32,7 @@
 }
 
 /// Waits for a slot, and gives it back at once.
-fn admit(admission: &Arc<Admission>, tenant: TenantNumber) -> JoinHandle<Result<(), Refusal>> {
+fn admit(admission: &Arc<Admission>, tenant: TenantId) -> JoinHandle<Result<(), Refusal>> {
     let admission = Arc::clone(admission);
     tokio::spawn(async move { admission.admit(item(Some(tenant))).await.map(drop) })
 }
--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -3,7 +3,7 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 use umberpond_scheduling::{Refusal, TenantUsage};
 use umberpond_telemetry::Event;
 
@@ -34,7 +34,7 @@
     pub(super) fn tell_over_share(&self, attempt: &Attempt, refusal: Refusal) {
         let Some(tenant) = &attempt.tenant else { return };
         let Some(reason) = over_share_reason(refusal) else { return };
-        let standing = self.admission.standing(TenantNumber::of(tenant));
+        let standing = self.admission.standing(TenantId::of(tenant));
         let is_displaced = matches!(refusal, Refusal::OverShare { .. });
         let Some(standing) = standing.filter(|standing| is_displaced || standing.is_over_share) else {
             return;
@@ -67,10 +67,10 @@
         described.collect::<Vec<String>>().join(",")
     }
 
-    fn tenant_name(&self, number: TenantNumber) -> String {
+    fn tenant_name(&self, number: TenantId) -> String {
         let access = self.access.load();
         let tenants = access.iter().flat_map(|access| access.tenants.iter());
-        let mut named = tenants.filter(|tenant| TenantNumber::of(&tenant.name) == number);
+        let mut named = tenants.filter(|tenant| TenantId::of(&tenant.name) == number);
         named.next().map_or_else(|| number.0.to_string(), |tenant| tenant.name.to_string())
     }
 }
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 use umberpond_http1::Fields;
-use umberpond_model::{HomeRegions, ServiceName, TenantName, TenantNumber};
+use umberpond_model::{HomeRegions, ServiceName, TenantId, TenantName};
 use umberpond_quarantine::RequestKey;
 use umberpond_scheduling::{CallLevel, LoadReport};
 
@@ -123,14 +123,14 @@
     pub level: CallLevel,
     /// Tenant of the run, in whose share of the slots the call is counted if it names none itself. It is neither told to the back end nor
     /// charged to the tenant's quota, of which the run has taken its part.
-    pub tenant: Option<TenantNumber>,
+    pub tenant: Option<TenantId>,
 }
 
 impl Attempt {
     /// Tenant in whose share of the slots it is counted.
     #[must_use]
-    pub fn sharing_tenant(&self) -> Option<TenantNumber> {
-        let own = self.tenant.as_ref().map(TenantNumber::of);
+    pub fn sharing_tenant(&self) -> Option<TenantId> {
+        let own = self.tenant.as_ref().map(TenantId::of);
         own.or_else(|| self.call.and_then(|call| call.tenant))
     }
 
--- a/crates/forwarding/src/quotas.rs
+++ b/crates/forwarding/src/quotas.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, timeout_at};
-use umberpond_model::{TenantName, TenantNumber};
+use umberpond_model::{TenantId, TenantName};
 use umberpond_quotas::{
     MAX_TOKEN_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision, TokenPool,
 };
@@ -64,8 +64,8 @@
     sharing: Box<dyn QuotaSharing>,
     pool: TokenPool,
     has_quotas: bool,
-    waiting: HashMap<TenantNumber, VecDeque<oneshot::Sender<TokenDecision>>>,
-    refusals: HashMap<TenantNumber, RefusalCount>,
+    waiting: HashMap<TenantId, VecDeque<oneshot::Sender<TokenDecision>>>,
+    refusals: HashMap<TenantId, RefusalCount>,
     /// Tokens that nobody used and that were told of.
     told_expired: u64,
 }
@@ -91,7 +91,7 @@
         tenant: &TenantName,
         until: Instant,
     ) -> Result<QuotaPermit, OverQuota> {
-        let number = TenantNumber::of(tenant);
+        let number = TenantId::of(tenant);
         let answer = match self.take(number) {
             TokenTurn::Told(answer) => answer,
             TokenTurn::Waits(waiter) => {
@@ -105,7 +105,7 @@
         Ok(QuotaPermit { gate: Arc::clone(self), tenant: number, expires_at })
     }
 
-    fn over_quota(&self, tenant: TenantNumber) -> OverQuota {
+    fn over_quota(&self, tenant: TenantId) -> OverQuota {
         let mut state = self.state.lock();
         OverQuota {
             next_token_in: state.sharing.next_token_in(now(), tenant),
@@ -120,7 +120,7 @@
         expired - std::mem::replace(&mut state.told_expired, expired)
     }
 
-    fn take(&self, tenant: TenantNumber) -> TokenTurn {
+    fn take(&self, tenant: TenantId) -> TokenTurn {
         let mut state = self.state.lock();
         state.sharing.on_request(now(), tenant);
         let answer = state.sharing.take(now(), tenant);
@@ -178,7 +178,7 @@
         state.tell_waiting();
     }
 
-    fn give_back(&self, tenant: TenantNumber, expires_at: std::time::Instant) {
+    fn give_back(&self, tenant: TenantId, expires_at: std::time::Instant) {
         self.state.lock().sharing.give_back(now(), tenant, expires_at);
     }
 }
@@ -204,7 +204,7 @@
     }
 
     /// Counts one refusal. The first one of a tenant begins a period.
-    fn count_refusal(&mut self, tenant: TenantNumber, now: Instant) -> Option<QuotaRefusals> {
+    fn count_refusal(&mut self, tenant: TenantId, now: Instant) -> Option<QuotaRefusals> {
         let count = self.refusals.entry(tenant).or_insert(RefusalCount { refused: 0, since: now });
         count.refused += 1;
         let period = now.saturating_duration_since(count.since);
@@ -228,7 +228,7 @@
 #[derive(Debug)]
 pub(crate) struct QuotaPermit {
     gate: Arc<QuotaGate>,
-    tenant: TenantNumber,
+    tenant: TenantId,
     expires_at: std::time::Instant,
 }
 
--- a/crates/forwarding/src/quotas/tests.rs
+++ b/crates/forwarding/src/quotas/tests.rs
@@ -6,7 +6,7 @@
 
 use parking_lot::Mutex;
 use tokio::time::{Instant, advance};
-use umberpond_model::{TenantName, TenantNumber};
+use umberpond_model::{TenantId, TenantName};
 use umberpond_quotas::{QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision};
 
 use super::{ACCOUNT_PERIOD, QuotaGate};
@@ -25,17 +25,17 @@
 
     fn set_sharing_nodes(&mut self, _now: std::time::Instant, _count: usize) {}
 
-    fn on_request(&mut self, _now: std::time::Instant, _tenant: TenantNumber) {}
+    fn on_request(&mut self, _now: std::time::Instant, _tenant: TenantId) {}
 
-    fn take(&mut self, _now: std::time::Instant, _tenant: TenantNumber) -> TokenDecision {
+    fn take(&mut self, _now: std::time::Instant, _tenant: TenantId) -> TokenDecision {
         self.answer
     }
 
-    fn give_back(&mut self, _now: std::time::Instant, _tenant: TenantNumber, expires_at: std::time::Instant) {
+    fn give_back(&mut self, _now: std::time::Instant, _tenant: TenantId, expires_at: std::time::Instant) {
         self.given_back.lock().push(expires_at);
     }
 
-    fn next_token_in(&self, _now: std::time::Instant, _tenant: TenantNumber) -> Duration {
+    fn next_token_in(&self, _now: std::time::Instant, _tenant: TenantId) -> Duration {
         NEXT_TOKEN
     }
 
@@ -46,7 +46,7 @@
     fn next_report(
         &mut self,
         _now: std::time::Instant,
-        _waiting: &HashMap<TenantNumber, u32>,
+        _waiting: &HashMap<TenantId, u32>,
     ) -> Option<QuotaReport> {
         None
     }
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use parking_lot::Mutex;
 use tokio::time::Instant;
-use umberpond_model::{ServiceName, TenantNumber};
+use umberpond_model::{ServiceName, TenantId};
 use umberpond_scheduling::CallLevel;
 use umberpond_selection::OtherCalls;
 
@@ -48,7 +48,7 @@
     /// Level that its calls take over.
     pub(crate) level: CallLevel,
     /// Tenant on whose behalf it runs; absent if it is of none.
-    pub(crate) tenant: Option<TenantNumber>,
+    pub(crate) tenant: Option<TenantId>,
     /// End of the time within which its answer is of any use.
     pub(crate) deadline: Instant,
 }
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -28,6 +28,6 @@
 };
 pub use rate::{InvalidRate, RequestRate};
 pub use record::{Head, VersionRecord};
-pub use tenant_number::TenantNumber;
+pub use tenant_number::TenantId;
 pub use time::Millis;
 pub use version::{SubmissionId, Version};
--- a/crates/model/src/tenant_number.rs
+++ b/crates/model/src/tenant_number.rs
@@ -6,9 +6,9 @@
 
 /// Names a tenant in messages: a hash of its name, the same on all nodes. Two tenants with the same number would share their tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct TenantNumber(pub u64);
+pub struct TenantId(pub u64);
 
-impl TenantNumber {
+impl TenantId {
     /// The number of the tenant called `name`.
     #[must_use]
     pub fn of(name: &TenantName) -> Self {
--- a/crates/quotas/src/message.rs
+++ b/crates/quotas/src/message.rs
@@ -1,13 +1,13 @@
 //! What nodes tell one another of tokens.
 
 use bitcode::{Decode, Encode};
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 /// Tokens of one tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct TokenCount {
     /// The tenant.
-    pub tenant: TenantNumber,
+    pub tenant: TenantId,
     /// How many.
     pub tokens: u32,
 }
@@ -16,7 +16,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct WantedTokens {
     /// The tenant.
-    pub tenant: TenantNumber,
+    pub tenant: TenantId,
     /// For requests that wait.
     pub waiting: u32,
     /// For those that are expected soon.
--- a/crates/quotas/src/own.rs
+++ b/crates/quotas/src/own.rs
@@ -3,7 +3,7 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::held::TOKEN_LIFETIME;
 use crate::message::{QuotaGrant, QuotaReport};
@@ -22,7 +22,7 @@
 pub struct OwnShares {
     quotas: Quotas,
     sharing_nodes: Option<u32>,
-    tenants: HashMap<TenantNumber, OwnTokens>,
+    tenants: HashMap<TenantId, OwnTokens>,
 }
 
 impl QuotaSharing for OwnShares {
@@ -35,9 +35,9 @@
         self.sharing_nodes = Some(u32::try_from(count.max(1)).unwrap_or(u32::MAX));
     }
 
-    fn on_request(&mut self, _now: Instant, _tenant: TenantNumber) {}
+    fn on_request(&mut self, _now: Instant, _tenant: TenantId) {}
 
-    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision {
+    fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision {
         let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { expires_at: now } };
         let Some(nodes) = self.sharing_nodes else { return TokenDecision::Refused };
         let own = self.tenants.entry(tenant).or_insert(OwnTokens { tokens: 0.0, counted_at: now });
@@ -53,7 +53,7 @@
         TokenDecision::Granted { expires_at: now + TOKEN_LIFETIME }
     }
 
-    fn give_back(&mut self, now: Instant, tenant: TenantNumber, expires_at: Instant) {
+    fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant) {
         if expires_at <= now {
             return;
         }
@@ -62,7 +62,7 @@
         }
     }
 
-    fn next_token_in(&self, _now: Instant, _tenant: TenantNumber) -> Duration {
+    fn next_token_in(&self, _now: Instant, _tenant: TenantId) -> Duration {
         Duration::ZERO
     }
 
@@ -70,7 +70,7 @@
         0
     }
 
-    fn next_report(&mut self, _now: Instant, _waiting: &HashMap<TenantNumber, u32>) -> Option<QuotaReport> {
+    fn next_report(&mut self, _now: Instant, _waiting: &HashMap<TenantId, u32>) -> Option<QuotaReport> {
         None
     }
 
--- a/crates/quotas/src/pool.rs
+++ b/crates/quotas/src/pool.rs
@@ -5,7 +5,7 @@
 
 use umberpond_config::Quota;
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::held::TOKEN_LIFETIME;
 use crate::message::{QuotaGrant, QuotaReport, TokenCount, WantedTokens};
@@ -57,7 +57,7 @@
     lately: VecDeque<(Instant, Duration)>,
     /// Their sum.
     lately_sum: Duration,
-    tenants: HashMap<TenantNumber, PooledTokens>,
+    tenants: HashMap<TenantId, PooledTokens>,
     /// The processes that have reported, so that no report counts twice.
     senders: HashMap<u64, Sender>,
     forget_next_at: Option<Instant>,
@@ -160,7 +160,7 @@
     }
 
     /// The tokens of `tenant`, brought up to date, and their bounds.
-    fn count(&mut self, now: Instant, tenant: TenantNumber) -> Option<(&mut PooledTokens, TokenBounds)> {
+    fn count(&mut self, now: Instant, tenant: TenantId) -> Option<(&mut PooledTokens, TokenBounds)> {
         let quota = *self.quotas.get(&tenant)?;
         let bounds = self.bounds(quota);
         let inflow = self.inflow;
--- a/crates/quotas/src/pooled.rs
+++ b/crates/quotas/src/pooled.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::earned::EarnedTime;
 use crate::held::{HeldTokens, TOKEN_LIFETIME};
@@ -24,7 +24,7 @@
     life: u64,
     quotas: Quotas,
     earned: EarnedTime,
-    tenants: BTreeMap<TenantNumber, HeldTokens>,
+    tenants: BTreeMap<TenantId, HeldTokens>,
     reports: u64,
     reported_at: Option<Instant>,
     /// The reports that are not answered yet and whose tokens would still be good, the latest last.
@@ -71,7 +71,7 @@
     }
 
     /// What is asked for: for requests that wait, and for those that will come of tenants at their limits.
-    fn wanted(&self, now: Instant, waiting: &HashMap<TenantNumber, u32>) -> Vec<WantedTokens> {
+    fn wanted(&self, now: Instant, waiting: &HashMap<TenantId, u32>) -> Vec<WantedTokens> {
         let waiting_of = |tenant| waiting.get(tenant).copied().unwrap_or(0);
         let wanted = self.tenants.iter().filter_map(|(tenant, held)| {
             let ahead = held.tokens_ahead(now);
@@ -100,7 +100,7 @@
         counts.filter(|count| count.tokens > 0).collect()
     }
 
-    fn rate_of(&self, tenant: TenantNumber) -> f64 {
+    fn rate_of(&self, tenant: TenantId) -> f64 {
         self.quotas.get(&tenant).map_or(0.0, |quota| quota.rate.as_f64())
     }
 }
@@ -115,13 +115,13 @@
         self.earned.set_sharing_nodes(now, count);
     }
 
-    fn on_request(&mut self, now: Instant, tenant: TenantNumber) {
+    fn on_request(&mut self, now: Instant, tenant: TenantId) {
         if self.quotas.contains_key(&tenant) {
             self.tenants.entry(tenant).or_default().count_demand(now);
         }
     }
 
-    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision {
+    fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision {
         let expires_at = now + TOKEN_LIFETIME;
         let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { expires_at } };
         self.earned.earn(now);
@@ -136,7 +136,7 @@
         if held.limit.exhausted_for(now).is_some() { TokenDecision::Refused } else { TokenDecision::Ask }
     }
 
-    fn give_back(&mut self, now: Instant, tenant: TenantNumber, expires_at: Instant) {
+    fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant) {
         if !self.quotas.contains_key(&tenant) {
             return;
         }
@@ -144,7 +144,7 @@
         self.tenants.entry(tenant).or_default().add(now, expires_at, 1);
     }
 
-    fn next_token_in(&self, now: Instant, tenant: TenantNumber) -> Duration {
+    fn next_token_in(&self, now: Instant, tenant: TenantId) -> Duration {
         let held = self.tenants.get(&tenant);
         held.and_then(|held| held.limit.exhausted_for(now)).unwrap_or(Duration::ZERO)
     }
@@ -153,7 +153,7 @@
         self.expired
     }
 
-    fn next_report(&mut self, now: Instant, waiting: &HashMap<TenantNumber, u32>) -> Option<QuotaReport> {
+    fn next_report(&mut self, now: Instant, waiting: &HashMap<TenantId, u32>) -> Option<QuotaReport> {
         if self.quotas.is_empty() || self.awaits_answer(now) {
             return None;
         }
--- a/crates/quotas/src/sharing.rs
+++ b/crates/quotas/src/sharing.rs
@@ -6,7 +6,7 @@
 
 use umberpond_config::{Quota, Tenant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::message::{QuotaGrant, QuotaReport};
 
@@ -14,12 +14,11 @@
 pub const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
 
 /// The quotas of one configuration; a tenant that is missing may send any number of requests.
-pub type Quotas = HashMap<TenantNumber, Quota>;
+pub type Quotas = HashMap<TenantId, Quota>;
 
 /// The quotas of `tenants`.
 pub fn quotas_of<'a>(tenants: impl IntoIterator<Item = &'a Tenant>) -> Quotas {
-    let limited =
-        tenants.into_iter().filter_map(|tenant| Some((TenantNumber::of(&tenant.name), tenant.quota?)));
+    let limited = tenants.into_iter().filter_map(|tenant| Some((TenantId::of(&tenant.name), tenant.quota?)));
     limited.collect()
 }
 
@@ -46,22 +45,22 @@
     fn set_sharing_nodes(&mut self, now: Instant, count: usize);
 
     /// Takes in that a request of `tenant` has come.
-    fn on_request(&mut self, now: Instant, tenant: TenantNumber);
+    fn on_request(&mut self, now: Instant, tenant: TenantId);
 
     /// Takes a token for one request of `tenant`.
-    fn take(&mut self, now: Instant, tenant: TenantNumber) -> TokenDecision;
+    fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision;
 
     /// Takes a token back whose request has not run. After `expires_at` it is lost.
-    fn give_back(&mut self, now: Instant, tenant: TenantNumber, expires_at: Instant);
+    fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant);
 
     /// Shortest time after which a token of a tenant can be expected that was refused one.
-    fn next_token_in(&self, now: Instant, tenant: TenantNumber) -> Duration;
+    fn next_token_in(&self, now: Instant, tenant: TenantId) -> Duration;
 
     /// Tokens that were given and that nobody used, since the start.
     fn expired_tokens(&self) -> u64;
 
     /// What to tell a pool now. `waiting` counts the requests that wait for a token.
-    fn next_report(&mut self, now: Instant, waiting: &HashMap<TenantNumber, u32>) -> Option<QuotaReport>;
+    fn next_report(&mut self, now: Instant, waiting: &HashMap<TenantId, u32>) -> Option<QuotaReport>;
 
     /// Takes in the answer of a pool; `pools` are asked in turn.
     fn on_grant(&mut self, now: Instant, grant: &QuotaGrant, pools: usize);
--- a/crates/quotas/tests/support/mod.rs
+++ b/crates/quotas/tests/support/mod.rs
@@ -7,7 +7,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberpond_config::{KeyHash, Quota, Tenant};
-use umberpond_model::{HomeRegions, RequestRate, TenantName, TenantNumber};
+use umberpond_model::{HomeRegions, RequestRate, TenantId, TenantName};
 use umberpond_quotas::{
     MAX_TOKEN_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
     TokenPool, quotas_of,
@@ -28,14 +28,14 @@
     }
 }
 
-pub fn number(name: &str) -> TenantNumber {
-    TenantNumber::of(&TenantName::new(name).expect("a name"))
+pub fn number(name: &str) -> TenantId {
+    TenantId::of(&TenantName::new(name).expect("a name"))
 }
 
 struct Node {
     sharing: Box<dyn QuotaSharing>,
     pool: TokenPool,
-    waiting: HashMap<TenantNumber, Vec<Instant>>,
+    waiting: HashMap<TenantId, Vec<Instant>>,
     next_pool: usize,
     is_running: bool,
     /// Whether something has come that lets the node report before its next look.
@@ -89,8 +89,8 @@
     /// Nodes that only reach one another.
     pub cut: Vec<usize>,
     /// When requests of each tenant were let through.
-    pub granted: HashMap<TenantNumber, Vec<Instant>>,
-    pub refused: HashMap<TenantNumber, u32>,
+    pub granted: HashMap<TenantId, Vec<Instant>>,
+    pub refused: HashMap<TenantId, u32>,
     pub reports: u64,
 }
 
@@ -161,7 +161,7 @@
     }
 
     /// A request enters at a node.
-    pub fn request(&mut self, index: usize, tenant: TenantNumber) {
+    pub fn request(&mut self, index: usize, tenant: TenantId) {
         let (now, node) = (self.now, &mut self.nodes[index]);
         if !node.is_running {
             return;
@@ -270,7 +270,7 @@
     }
 
     /// Most requests of a tenant that were let through within `window`.
-    pub fn most_within(&self, tenant: TenantNumber, window: Duration) -> usize {
+    pub fn most_within(&self, tenant: TenantId, window: Duration) -> usize {
         let granted = self.granted.get(&tenant).map_or(&[][..], Vec::as_slice);
         let mut first = 0;
         let mut most = 0;
@@ -284,7 +284,7 @@
     }
 
     /// Requests of a tenant that were let through in the `window` from `start` on.
-    pub fn granted_between(&self, tenant: TenantNumber, start: Instant, window: Duration) -> usize {
+    pub fn granted_between(&self, tenant: TenantId, start: Instant, window: Duration) -> usize {
         let granted = self.granted.get(&tenant).map_or(&[][..], Vec::as_slice);
         granted.iter().filter(|at| **at >= start && **at < start + window).count()
     }
@@ -294,11 +294,11 @@
         self.nodes.iter().map(|node| node.sharing.expired_tokens()).sum()
     }
 
-    pub fn granted_of(&self, tenant: TenantNumber) -> usize {
+    pub fn granted_of(&self, tenant: TenantId) -> usize {
         self.granted.get(&tenant).map_or(0, Vec::len)
     }
 
-    pub fn refused_of(&self, tenant: TenantNumber) -> u32 {
+    pub fn refused_of(&self, tenant: TenantId) -> u32 {
         self.refused.get(&tenant).copied().unwrap_or(0)
     }
 }
--- a/crates/quotas/tests/tokens.rs
+++ b/crates/quotas/tests/tokens.rs
@@ -27,7 +27,7 @@
     shares
 }
 
-fn waiting(count: u32) -> HashMap<umberpond_model::TenantNumber, u32> {
+fn waiting(count: u32) -> HashMap<umberpond_model::TenantId, u32> {
     [(number("hot"), count)].into()
 }
 
--- a/crates/scheduling/src/fair_shares.rs
+++ b/crates/scheduling/src/fair_shares.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::WorkItem;
 use crate::load::permille;
@@ -26,7 +26,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantUsage {
     /// The tenant.
-    pub tenant: TenantNumber,
+    pub tenant: TenantId,
     /// Its part of the slot time that tenants took lately while others waited, in thousandths.
     pub use_permille: u16,
     /// An equal part for each tenant that was active lately, in thousandths.
@@ -101,7 +101,7 @@
 /// What the tenants of one back end have taken since nobody had to wait last.
 #[derive(Debug, Default)]
 pub(crate) struct FairShares {
-    tenants: BTreeMap<TenantNumber, TenantUse>,
+    tenants: BTreeMap<TenantId, TenantUse>,
     virtual_time: Duration,
     advanced_at: Option<Instant>,
     pruned_at: Option<Instant>,
@@ -140,7 +140,7 @@
     }
 
     /// Takes in that a request of `tenant` waits.
-    pub(crate) fn on_wait(&mut self, now: Instant, tenant: TenantNumber) {
+    pub(crate) fn on_wait(&mut self, now: Instant, tenant: TenantId) {
         let virtual_time = self.virtual_time;
         let entry = self.tenants.entry(tenant).or_insert_with(|| TenantUse::new(now, virtual_time));
         if entry.waiting == 0 {
@@ -151,20 +151,14 @@
     }
 
     /// Takes in that a request of `tenant` waits no more.
-    pub(crate) fn on_leave(&mut self, tenant: TenantNumber) {
+    pub(crate) fn on_leave(&mut self, tenant: TenantId) {
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.waiting = entry.waiting.saturating_sub(1);
         }
     }
 
     /// Takes in that a request of `tenant` that has waited starts and is expected to take `service`.
-    pub(crate) fn on_start(
-        &mut self,
-        now: Instant,
-        tenant: TenantNumber,
-        service: Duration,
-        quantum: Duration,
-    ) {
+    pub(crate) fn on_start(&mut self, now: Instant, tenant: TenantId, service: Duration, quantum: Duration) {
         // Nobody who is less far ahead waits, so less than a quantum is left of its lead.
         let lead = self.lead(tenant, Duration::ZERO);
         let quanta = quanta(lead, quantum).saturating_sub(1);
@@ -176,7 +170,7 @@
     }
 
     /// Takes in that a request of `tenant` has left its slot after `held`.
-    pub(crate) fn settle(&mut self, tenant: TenantNumber, held: Duration) {
+    pub(crate) fn settle(&mut self, tenant: TenantId, held: Duration) {
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.settle(held);
         }
@@ -236,12 +230,7 @@
     }
 
     /// How a tenant stands; absent if it has not waited of late.
-    pub(crate) fn standing(
-        &self,
-        now: Instant,
-        tenant: TenantNumber,
-        quantum: Duration,
-    ) -> Option<TenantUsage> {
+    pub(crate) fn standing(&self, now: Instant, tenant: TenantId, quantum: Duration) -> Option<TenantUsage> {
         let entry = self.tenants.get(&tenant)?;
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
         Some(self.standing_of(now, tenant, entry, total, quantum))
@@ -261,7 +250,7 @@
     fn standing_of(
         &self,
         now: Instant,
-        tenant: TenantNumber,
+        tenant: TenantId,
         entry: &TenantUse,
         total: f64,
         quantum: Duration,
@@ -278,7 +267,7 @@
     }
 
     /// Slot time by which a tenant is ahead of its share once it has taken `more`.
-    fn lead(&self, tenant: TenantNumber, more: Duration) -> Duration {
+    fn lead(&self, tenant: TenantId, more: Duration) -> Duration {
         let start = self.tenants.get(&tenant).map_or(self.virtual_time, |entry| entry.virtual_start);
         (start.max(self.virtual_time) + more).saturating_sub(self.virtual_time)
     }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::admitted_work::AdmittedWork;
 use crate::fair_shares::{FairShares, TenantUsage, WaitingTurns};
@@ -213,13 +213,13 @@
     }
 
     /// Takes in that a request of `tenant` held its slot for `held`; zero if it was given up before it ran. [`WorkQueue::finish`] follows.
-    pub fn settle(&mut self, tenant: TenantNumber, held: Duration) {
+    pub fn settle(&mut self, tenant: TenantId, held: Duration) {
         self.shares.settle(tenant, held);
     }
 
     /// How a tenant stands; absent if none of its requests has waited of late.
     #[must_use]
-    pub fn standing(&self, now: Instant, tenant: TenantNumber) -> Option<TenantUsage> {
+    pub fn standing(&self, now: Instant, tenant: TenantId) -> Option<TenantUsage> {
         self.shares.standing(now, tenant, self.quantum())
     }
 
--- a/crates/scheduling/src/work_item.rs
+++ b/crates/scheduling/src/work_item.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::CallLevel;
 
@@ -31,7 +31,7 @@
     /// Whether its caller has sent it before and was refused: its objective can be met only in part by now.
     pub is_caller_retry: bool,
     /// Tenant on whose behalf it is sent; absent if it is of none.
-    pub tenant: Option<TenantNumber>,
+    pub tenant: Option<TenantId>,
     /// Level of the run at another back end that waits for it, if it is a call. The lower it is, the longer a wait the call is taken in with.
     pub call: Option<CallLevel>,
 }
--- a/crates/scheduling/tests/support/gate.rs
+++ b/crates/scheduling/tests/support/gate.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 use umberpond_scheduling::{Decision, Dequeued, Ticket, WorkItem, WorkQueue};
 
 use super::Numbers;
@@ -30,7 +30,7 @@
     fn next(&mut self, now: Instant) -> Option<Leaving>;
     /// Gives up a request; `false` if it does not wait any more.
     fn withdraw(&mut self, request: usize) -> bool;
-    fn finish(&mut self, tenant: Option<TenantNumber>, held: Duration);
+    fn finish(&mut self, tenant: Option<TenantId>, held: Duration);
     /// Tenants of which something is kept.
     fn tenant_count(&self) -> usize;
 }
@@ -92,7 +92,7 @@
         self.queue.withdraw(ticket)
     }
 
-    fn finish(&mut self, tenant: Option<TenantNumber>, held: Duration) {
+    fn finish(&mut self, tenant: Option<TenantId>, held: Duration) {
         if let Some(tenant) = tenant {
             self.queue.settle(tenant, held);
         }
@@ -130,7 +130,7 @@
         Self { slots, running: 0, virtual_time: Duration::ZERO, shards: vec![Shard::default(); QUEUES] }
     }
 
-    fn hand(tenant: Option<TenantNumber>) -> Vec<usize> {
+    fn hand(tenant: Option<TenantId>) -> Vec<usize> {
         let mut numbers = Numbers::new(tenant.map_or(0, |tenant| tenant.0));
         let mut hand = Vec::new();
         while hand.len() < HAND {
@@ -187,7 +187,7 @@
         false
     }
 
-    fn finish(&mut self, _tenant: Option<TenantNumber>, _held: Duration) {
+    fn finish(&mut self, _tenant: Option<TenantId>, _held: Duration) {
         self.running -= 1;
     }
 
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 use umberpond_scheduling::WorkItem;
 
 use gate::{Gate, Leaving, Offered, QueueGate, ShardedGate};
@@ -231,8 +231,8 @@
         }
     }
 
-    fn tenant(&self, request: Request) -> Option<TenantNumber> {
-        (self.replay.gates != Gates::Untold).then_some(TenantNumber(request.tenant as u64))
+    fn tenant(&self, request: Request) -> Option<TenantId> {
+        (self.replay.gates != Gates::Untold).then_some(TenantId(request.tenant as u64))
     }
 
     fn hold_seconds(&self) -> f64 {
--- a/crates/scheduling/tests/tenant_turns.rs
+++ b/crates/scheduling/tests/tenant_turns.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use quickcheck::QuickCheck;
-use umberpond_model::{RequestRate, TenantNumber};
+use umberpond_model::{RequestRate, TenantId};
 use umberpond_scheduling::{CallLevel, Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 
 const SLOTS: u32 = 9;
@@ -25,7 +25,7 @@
         max_queue_wait: millis(60_000),
         service: SERVICE,
         is_caller_retry: false,
-        tenant: Some(TenantNumber(tenant)),
+        tenant: Some(TenantId(tenant)),
         call: None,
     }
 }
@@ -54,7 +54,7 @@
 
 /// Ends one run of `tenant`, and starts whatever is next.
 fn next(queue: &mut WorkQueue, now: Instant, tenant: u64) -> Option<Dequeued> {
-    queue.settle(TenantNumber(tenant), SERVICE);
+    queue.settle(TenantId(tenant), SERVICE);
     queue.finish(Some(SERVICE));
     queue.start_next(now)
 }
@@ -196,7 +196,7 @@
     let honest: Vec<Ticket> = (0..20).map(|_| waits(queue.offer(now, item(now, 1)))).collect();
     let first = next(&mut queue, now, 2);
     assert!(matches!(first, Some(Dequeued::Run(ticket)) if !honest.contains(&ticket)));
-    queue.settle(TenantNumber(GREEDY), SERVICE * 40);
+    queue.settle(TenantId(GREEDY), SERVICE * 40);
     queue.finish(Some(SERVICE));
     let Some(Dequeued::Run(second)) = queue.start_next(now) else { panic!("requests wait") };
     assert!(honest.contains(&second), "the other one has taken forty times as long as it was expected to");
@@ -208,11 +208,11 @@
     let (mut queue, _) = greedy_queue(now, 40);
     let _ = waits(queue.offer(now, item(now, 1)));
     make_greedy(&mut queue, now, 20);
-    let greedy = queue.standing(now, TenantNumber(GREEDY)).expect("it waits");
+    let greedy = queue.standing(now, TenantId(GREEDY)).expect("it waits");
     assert_eq!(greedy.share_permille, 500);
     assert!(greedy.use_permille > 900, "{greedy:?}");
     assert_eq!(queue.top_tenants(now, 1), [greedy]);
-    assert_eq!(queue.standing(now, TenantNumber(7)), None);
+    assert_eq!(queue.standing(now, TenantId(7)), None);
 }
 
 /// A back end that takes the same time for each request, and those that wait for it.
@@ -256,7 +256,7 @@
         self.now += passed;
         while self.ends.front().is_some_and(|(end, _)| *end <= self.now) {
             let (_, tenant) = self.ends.pop_front().expect("a run");
-            self.queue.settle(TenantNumber(tenant), SERVICE);
+            self.queue.settle(TenantId(tenant), SERVICE);
             self.queue.finish(Some(SERVICE));
         }
         while let Some(started) = self.queue.start_next(self.now) {
@@ -359,8 +359,8 @@
     let later = now + millis(6_000);
     let _ = queue.report(now);
     let _ = queue.report(later);
-    assert_eq!(queue.standing(later, TenantNumber(GREEDY)), None);
-    assert!(queue.standing(later, TenantNumber(1)).is_some(), "it waits still");
+    assert_eq!(queue.standing(later, TenantId(GREEDY)), None);
+    assert!(queue.standing(later, TenantId(1)).is_some(), "it waits still");
     assert!(queue.withdraw(other));
 }
 
