--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use umberpond_forwarding::{FindingSource, Quarantine};
-use umberpond_membership::{Datagram, Membership, Outgoing, SuspectNews};
+use umberpond_membership::{Datagram, Membership, Outgoing, SuspectMessage};
 use umberpond_quarantine::{RequestFingerprint, SuspectRecord};
 
 /// Time between two comparisons. With one of each node a second, a node that was not told of something is left without a comparison for three seconds with a chance of
@@ -36,7 +36,7 @@
     /// Tells what was found here.
     pub(super) fn tell(membership: &mut Membership, records: &[SuspectRecord]) -> Vec<Outgoing> {
         let audience = membership.audience();
-        audience.into_iter().flat_map(|to| in_parts(to, records, SuspectNews::Told)).collect()
+        audience.into_iter().flat_map(|to| in_parts(to, records, SuspectMessage::Told)).collect()
     }
 
     /// Takes in what the node at `from` tells.
@@ -44,23 +44,23 @@
         &self,
         membership: &mut Membership,
         from: SocketAddr,
-        news: &SuspectNews,
+        news: &SuspectMessage,
     ) -> Vec<Outgoing> {
         match news {
-            SuspectNews::Told(records) => {
+            SuspectMessage::Told(records) => {
                 let changed = self.quarantine.join(records, FindingSource::Node).changed;
                 if changed.is_empty() || membership.tells_all() {
                     return Vec::new();
                 }
                 Self::tell(membership, &self.quarantine.records(&changed))
             }
-            SuspectNews::Digest(digest) => {
+            SuspectMessage::Digest(digest) => {
                 if self.quarantine.digest().unwrap_or_default() == *digest {
                     return Vec::new();
                 }
                 repair(from, &self.quarantine.repair_records(), true)
             }
-            SuspectNews::Repair { records, wants_answer } => {
+            SuspectMessage::Repair { records, wants_answer } => {
                 let lacking = self.lacking_there(records);
                 if lacking.is_empty() || !wants_answer {
                     return Vec::new();
@@ -99,7 +99,7 @@
         // Where nothing is known there is nothing that others could lack.
         let Some(digest) = self.quarantine.digest().filter(|digest| *digest != 0) else { return Vec::new() };
         let compared = membership.draw_reachable(1).into_iter();
-        compared.map(|to| outgoing(to, SuspectNews::Digest(digest))).collect()
+        compared.map(|to| outgoing(to, SuspectMessage::Digest(digest))).collect()
     }
 
     /// Asks some nodes for all that they know, and tells them what is known here.
@@ -112,7 +112,7 @@
 
 /// The datagrams of a repair; one without records asks for those of the other node.
 fn repair(to: SocketAddr, records: &[SuspectRecord], wants_answer: bool) -> Vec<Outgoing> {
-    let repair = |records| SuspectNews::Repair { records, wants_answer };
+    let repair = |records| SuspectMessage::Repair { records, wants_answer };
     if records.is_empty() {
         return vec![outgoing(to, repair(Vec::new()))];
     }
@@ -122,11 +122,11 @@
 fn in_parts(
     to: SocketAddr,
     records: &[SuspectRecord],
-    news: impl Fn(Vec<SuspectRecord>) -> SuspectNews,
+    news: impl Fn(Vec<SuspectRecord>) -> SuspectMessage,
 ) -> Vec<Outgoing> {
     records.chunks(MAX_RECORDS).map(|part| outgoing(to, news(part.to_vec()))).collect()
 }
 
-const fn outgoing(to: SocketAddr, news: SuspectNews) -> Outgoing {
+const fn outgoing(to: SocketAddr, news: SuspectMessage) -> Outgoing {
     Outgoing { to, datagram: Datagram::Suspects(news) }
 }
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -115,7 +115,7 @@
 
 /// What nodes tell one another of the requests under suspicion of ending back ends.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub enum SuspectNews {
+pub enum SuspectMessage {
     /// Findings, passed on.
     Told(Vec<SuspectRecord>),
     /// Sum of what every node has to know, for comparison.
@@ -141,7 +141,7 @@
     /// Tells a coordinator of a rollout what a back end has answered.
     Evidence(Box<ReleaseEvidence>),
     /// Tells of requests that may end back ends.
-    Suspects(SuspectNews),
+    Suspects(SuspectMessage),
     /// Hands earned time on to a pool of tokens, and asks it for some.
     QuotaReport(Box<QuotaReport>),
     /// Answers such a report.
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,7 +19,7 @@
 
 pub use digest::{BUCKETS, BucketDigest};
 pub use heartbeat::{
-    Accusation, BucketOrders, ConfigurationWord, Datagram, Echo, Heartbeat, News, SenderWord, SuspectNews,
+    Accusation, BucketOrders, ConfigurationWord, Datagram, Echo, Heartbeat, News, SenderWord, SuspectMessage,
 };
 pub use member::{MemberView, Reachability};
 pub use membership::{Membership, Outgoing};
