--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -60,9 +60,9 @@
                 }
                 repair(from, &self.quarantine.repair_records(), true)
             }
-            SuspectMessage::Repair { records, wants_answer } => {
+            SuspectMessage::Repair { records, wants_response } => {
                 let lacking = self.lacking_there(records);
-                if lacking.is_empty() || !wants_answer {
+                if lacking.is_empty() || !wants_response {
                     return Vec::new();
                 }
                 repair(from, &lacking, false)
@@ -111,8 +111,8 @@
 }
 
 /// The datagrams of a repair; one without records asks for those of the other node.
-fn repair(to: SocketAddr, records: &[SuspectRecord], wants_answer: bool) -> Vec<Outgoing> {
-    let repair = |records| SuspectMessage::Repair { records, wants_answer };
+fn repair(to: SocketAddr, records: &[SuspectRecord], wants_response: bool) -> Vec<Outgoing> {
+    let repair = |records| SuspectMessage::Repair { records, wants_response };
     if records.is_empty() {
         return vec![outgoing(to, repair(Vec::new()))];
     }
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -71,7 +71,7 @@
     /// By whom the receiver was found silent, if it is left out for that.
     pub accusers: Vec<u64>,
     /// Whether the receiver should answer at once.
-    pub wants_answer: bool,
+    pub wants_response: bool,
     /// Whether the receiver should send all records that it holds.
     pub wants_records: bool,
 }
@@ -125,7 +125,7 @@
         /// Findings.
         records: Vec<SuspectRecord>,
         /// Whether the sender may lack some itself.
-        wants_answer: bool,
+        wants_response: bool,
     },
 }
 
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -350,7 +350,7 @@
         now: Instant,
         node: &NodeName,
         to: Option<SocketAddr>,
-        wants_answer: bool,
+        wants_response: bool,
     ) -> Option<Outgoing> {
         let configuration = self.configuration_word(now);
         let digests = self.digests.take_next();
@@ -369,7 +369,7 @@
             digests,
             watch_millis: watch.map_or(0, |watch| millis(watch.interval)),
             accusers: member.accusers_out(),
-            wants_answer,
+            wants_response,
             wants_records: false,
         };
         let to = to.unwrap_or(member.record.control);
@@ -388,7 +388,7 @@
             digests: self.digests.take_next(),
             watch_millis: 0,
             accusers: Vec::new(),
-            wants_answer: true,
+            wants_response: true,
             wants_records,
         };
         Outgoing { to, datagram: Datagram::Heartbeat(Box::new(heartbeat)) }
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -102,7 +102,7 @@
         let is_unproved =
             member.watch().is_some() && member.own_finding(now) != Some(Reachability::Reachable);
         let is_answered = (is_unproved || is_out) && member.may_send_again(now);
-        if heartbeat.wants_answer || is_answered {
+        if heartbeat.wants_response || is_answered {
             outgoing.extend(self.heartbeat_to(now, node, Some(from), is_unproved && is_answered));
         }
         outgoing
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -206,7 +206,7 @@
         }
         let heartbeats = due.into_iter();
         heartbeats
-            .filter_map(|(node, wants_answer)| self.heartbeat_to(now, &node, None, wants_answer))
+            .filter_map(|(node, wants_response)| self.heartbeat_to(now, &node, None, wants_response))
             .collect()
     }
 
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -55,7 +55,7 @@
         let outgoing = membership.on_tick(now);
         accusations = outgoing.iter().filter(|out| matches!(out.datagram, Datagram::News(_))).count();
         let asked = outgoing.iter().filter(|out| match &out.datagram {
-            Datagram::Heartbeat(heartbeat) => heartbeat.wants_answer,
+            Datagram::Heartbeat(heartbeat) => heartbeat.wants_response,
             _ => false,
         });
         assert_eq!(asked.count(), 7, "all neighbours are asked at once");
