--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -16,7 +16,7 @@
 use rand::{RngExt, SeedableRng};
 use thiserror::Error;
 use tokio::time::sleep;
-use umberpond_membership::Introduction;
+use umberpond_membership::DirectoryEntry;
 use umberpond_telemetry::{Event, Telemetry};
 
 use crate::membership::MembershipMessage;
@@ -40,7 +40,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// Their entries, some of which may be of nodes that are gone.
-    pub introductions: Vec<Introduction>,
+    pub introductions: Vec<DirectoryEntry>,
     /// Whether entries that were written before the call may be missing.
     pub may_be_stale: bool,
 }
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     /// Returns [`DirectoryError`] when it is not known that the entry stands.
-    async fn announce(&self, introduction: &Introduction) -> Result<(), DirectoryError>;
+    async fn announce(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError>;
 
     /// All entries, from an older copy if the store has one that is cheaper to read.
     ///
@@ -64,13 +64,13 @@
     ///
     /// # Errors
     /// Returns [`DirectoryError`] when it is not known that the entry is gone.
-    async fn withdraw(&self, introduction: &Introduction) -> Result<(), DirectoryError>;
+    async fn withdraw(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError>;
 }
 
 /// What joining needs.
 pub(crate) struct JoinTask {
     pub(crate) directory: Arc<dyn MemberDirectory>,
-    pub(crate) own: Introduction,
+    pub(crate) own: DirectoryEntry,
     pub(crate) membership: ActorRef<MembershipMessage>,
     /// Whether no process of this node has run before.
     pub(crate) is_first_start: bool,
--- a/crates/daemon/src/directory/tests.rs
+++ b/crates/daemon/src/directory/tests.rs
@@ -5,14 +5,14 @@
 use parking_lot::Mutex;
 use ractor::{Actor, ActorProcessingErr, ActorRef};
 use tokio::time::{Duration, timeout};
-use umberpond_membership::Introduction;
+use umberpond_membership::DirectoryEntry;
 use umberpond_telemetry::Telemetry;
 
 use super::{DirectoryError, JoinTask, Listing, MemberDirectory, join};
 use crate::membership::MembershipMessage;
 
-fn introduction(node: &str, port: u16) -> Introduction {
-    Introduction {
+fn introduction(node: &str, port: u16) -> DirectoryEntry {
+    DirectoryEntry {
         node: node.parse().unwrap(),
         control: std::net::SocketAddr::from(([10, 0, 0, 1], port)),
         locality: None,
@@ -22,7 +22,7 @@
 /// A directory whose list is older than its entries by some reads.
 #[derive(Default)]
 struct SlowCopy {
-    entries: Mutex<Vec<Introduction>>,
+    entries: Mutex<Vec<DirectoryEntry>>,
     /// Reads that still get an empty list.
     stale_reads: AtomicU32,
     /// Calls that are still refused.
@@ -41,7 +41,7 @@
 
 #[async_trait]
 impl MemberDirectory for SlowCopy {
-    async fn announce(&self, introduction: &Introduction) -> Result<(), DirectoryError> {
+    async fn announce(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
         self.refuse()?;
         self.announced.fetch_add(1, Ordering::Relaxed);
         let mut entries = self.entries.lock();
@@ -59,7 +59,7 @@
         Ok(Listing { introductions, may_be_stale: true })
     }
 
-    async fn withdraw(&self, _introduction: &Introduction) -> Result<(), DirectoryError> {
+    async fn withdraw(&self, _introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
         Ok(())
     }
 }
--- a/crates/daemon/src/membership/message.rs
+++ b/crates/daemon/src/membership/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ractor::{ActorRef, RpcReplyPort};
-use umberpond_membership::{BackEndRecord, Datagram, Introduction, MemberPhase, MemberView};
+use umberpond_membership::{BackEndRecord, Datagram, DirectoryEntry, MemberPhase, MemberView};
 use umberpond_model::{Evacuations, NodeName, Version};
 use umberpond_quarantine::SuspectRecord;
 use umberpond_rollouts::{ReleaseEvidence, RolloutPlan};
@@ -19,7 +19,7 @@
     /// Another node's datagram.
     Datagram { from: SocketAddr, datagram: Box<Datagram> },
     /// Nodes that the store names.
-    Introductions(Vec<Introduction>),
+    Introductions(Vec<DirectoryEntry>),
     /// The store has named all nodes that were there before this one.
     MergeOutcome,
     /// This node's word of its back end.
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -14,7 +14,7 @@
     ServerControl, ServerPhase, serve_inbound, serve_outbound,
 };
 use umberpond_membership::{
-    Introduction, MemberPhase, MemberRecord, MemberView, Membership, MembershipSettings,
+    DirectoryEntry, MemberPhase, MemberRecord, MemberView, Membership, MembershipSettings,
 };
 use umberpond_model::{Evacuations, Incarnation};
 use umberpond_rollouts::ReleaseEvidence;
@@ -101,7 +101,7 @@
         let outbound = start_outbound(&config, &environment, extensions.header_profile, &inbound);
         let activation =
             Arc::new(Activation::new(Arc::clone(&outbound), config.seal_key.clone(), telemetry.clone()));
-        let introduction = Introduction {
+        let introduction = DirectoryEntry {
             node: own.node.clone(),
             control: own.control,
             locality: Some(own.locality.clone()),
@@ -201,7 +201,7 @@
     pub(crate) config: NodeConfig,
     pub(crate) environment: Environment,
     pub(crate) extensions: Extensions,
-    pub(crate) introduction: Introduction,
+    pub(crate) introduction: DirectoryEntry,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) outbound: Arc<Outbound>,
     activation: Arc<Activation>,
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -24,5 +24,5 @@
 pub use member::{MemberView, Reachability};
 pub use membership::{Membership, Outgoing};
 pub use note::MembershipNote;
-pub use record::{BackEndRecord, BackEndState, Introduction, MemberPhase, MemberRecord, RecordOrder};
+pub use record::{BackEndRecord, BackEndState, DirectoryEntry, MemberPhase, MemberRecord, RecordOrder};
 pub use settings::MembershipSettings;
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -8,7 +8,7 @@
 use umberpond_model::{Locality, NodeName};
 
 use super::{Membership, Outgoing};
-use crate::record::Introduction;
+use crate::record::DirectoryEntry;
 
 /// A node that the store names and that is not known otherwise.
 #[derive(Debug)]
@@ -64,8 +64,8 @@
 
 impl Membership {
     /// Takes in nodes that the store names.
-    pub fn on_introductions(&mut self, now: Instant, introductions: Vec<Introduction>) {
-        for Introduction { node, control, locality } in introductions {
+    pub fn on_introductions(&mut self, now: Instant, introductions: Vec<DirectoryEntry>) {
+        for DirectoryEntry { node, control, locality } in introductions {
             if node == self.own.node || self.members.contains_key(&node) {
                 continue;
             }
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -94,7 +94,7 @@
 
 /// How to reach a node of which nothing else is known; what a node writes of itself to the store.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Introduction {
+pub struct DirectoryEntry {
     /// The node.
     pub node: NodeName,
     /// Its address for datagrams.
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -9,7 +9,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberpond_membership::{
-    BackEndRecord, BackEndState, Datagram, Introduction, MemberPhase, MemberRecord, MemberView, Membership,
+    BackEndRecord, BackEndState, Datagram, DirectoryEntry, MemberPhase, MemberRecord, MemberView, Membership,
     MembershipNote, MembershipSettings, Outgoing,
 };
 use umberpond_model::{Evacuations, Incarnation, Locality, NodeName, Version};
@@ -173,7 +173,7 @@
     }
 
     pub fn introduce(&mut self, number: usize, others: impl IntoIterator<Item = usize>) {
-        let introductions = others.into_iter().map(|other| Introduction {
+        let introductions = others.into_iter().map(|other| DirectoryEntry {
             node: node(other),
             control: address(other),
             locality: Some(locality(other, self.zones)),
--- a/crates/operator/src/directory.rs
+++ b/crates/operator/src/directory.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use futures_util::stream::{self, StreamExt};
 use umberpond_daemon::{DirectoryError, Listing, MemberDirectory};
-use umberpond_membership::Introduction;
+use umberpond_membership::DirectoryEntry;
 use umberpond_store::{ObjectKind, ObjectStore, PlatformError};
 
 /// Entries read at a start. Whoever is met tells of the rest.
@@ -43,7 +43,7 @@
 
 #[async_trait]
 impl MemberDirectory for StoreDirectory {
-    async fn announce(&self, introduction: &Introduction) -> Result<(), DirectoryError> {
+    async fn announce(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
         let value = Bytes::from(serde_json::to_vec(introduction).unwrap_or_default());
         self.replace(introduction.node.as_str(), value).await.map_err(failed)
     }
@@ -64,7 +64,7 @@
         Ok(Listing { introductions, may_be_stale: false })
     }
 
-    async fn withdraw(&self, introduction: &Introduction) -> Result<(), DirectoryError> {
+    async fn withdraw(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
         let name = introduction.node.as_str();
         let Some(object) = self.store.get(ObjectKind::Nodes, name).await.map_err(failed)? else {
             return Ok(());
