--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -136,7 +136,7 @@
             }
             MembershipMessage::Datagram { from, datagram } => self.on_datagram(now, from, &datagram),
             MembershipMessage::Introductions(introductions) => {
-                self.membership.on_introductions(now, introductions);
+                self.membership.on_directory_entries(now, introductions);
                 self.membership.on_tick(now)
             }
             MembershipMessage::MergeOutcome => {
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -64,7 +64,7 @@
 
 impl Membership {
     /// Takes in nodes that the store names.
-    pub fn on_introductions(&mut self, now: Instant, introductions: Vec<DirectoryEntry>) {
+    pub fn on_directory_entries(&mut self, now: Instant, introductions: Vec<DirectoryEntry>) {
         for DirectoryEntry { node, control, locality } in introductions {
             if node == self.own.node || self.members.contains_key(&node) {
                 continue;
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -179,7 +179,7 @@
             locality: Some(locality(other, self.zones)),
         });
         let now = self.now;
-        self.nodes.get_mut(&number).unwrap().on_introductions(now, introductions.collect());
+        self.nodes.get_mut(&number).unwrap().on_directory_entries(now, introductions.collect());
     }
 
     /// Lets a node say something at once.
