--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -279,7 +279,7 @@
     /// reached from here spend their parts too. Before the store has named the others that isn't known.
     fn tell_sharing_nodes(&self) {
         if self.has_joined {
-            let others = self.membership.members().count() + self.membership.unmet_count();
+            let others = self.membership.members().count() + self.membership.candidate_count();
             self.outbound.set_sharing_nodes(others + 1);
         }
     }
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -77,7 +77,7 @@
 
     /// Count of the nodes that the store has named and that are not known otherwise, until they are given up.
     #[must_use]
-    pub fn unmet_count(&self) -> usize {
+    pub fn candidate_count(&self) -> usize {
         self.joining.strangers.len()
     }
 
