--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -258,7 +258,7 @@
         let heard_at = word_at.unwrap_or(self.started_at);
         StoreView {
             own: self.membership.own().node.clone(),
-            others: reachable.chain(self.membership.expected_strangers(now).cloned()).collect(),
+            others: reachable.chain(self.membership.expected_candidates(now).cloned()).collect(),
             silent_for: now.saturating_duration_since(heard_at),
             is_heard: word_at.is_some(),
             has_joined: self.has_joined || now.saturating_duration_since(self.started_at) > JOIN_TIME,
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -82,7 +82,7 @@
     }
 
     /// Nodes that the store has just named and that are not known otherwise: most of them will be met.
-    pub fn expected_strangers(&self, now: Instant) -> impl Iterator<Item = &NodeName> {
+    pub fn expected_candidates(&self, now: Instant) -> impl Iterator<Item = &NodeName> {
         let strangers = self.joining.strangers.iter();
         let expected = strangers
             .filter(move |(_, stranger)| now.saturating_duration_since(stranger.known_since) < EXPECTED_FOR);
