--- a/crates/daemon/src/back_end/lives.rs
+++ b/crates/daemon/src/back_end/lives.rs
@@ -56,7 +56,7 @@
     state: BackEndState,
     cold_until: Instant,
     /// When it has said something last, or was asked and has.
-    heard_at: Instant,
+    last_seen_at: Instant,
     /// Whether it was out of reach and is well again, so that it may be another life of the same back end until its next word.
     is_reopened: bool,
 }
@@ -106,7 +106,7 @@
         }
         life.sequence = Some(announcement.sequence);
         life.cold_until = now + announcement.cold_for;
-        life.heard_at = now;
+        life.last_seen_at = now;
         self.on_word(announcement)
     }
 
@@ -141,7 +141,7 @@
                     return Effect::None;
                 }
                 life.state = BackEndState::Ready;
-                life.heard_at = now;
+                life.last_seen_at = now;
                 life.is_reopened = was_out_of_reach;
                 if life.sequence.is_none() {
                     life.back_end = back_end;
@@ -159,7 +159,7 @@
                     sequence: None,
                     state: BackEndState::Ready,
                     cold_until: now,
-                    heard_at: now,
+                    last_seen_at: now,
                     is_reopened: false,
                 });
                 Effect::Open(back_end)
@@ -248,7 +248,7 @@
             sequence: Some(announcement.sequence),
             state,
             cold_until: now + announcement.cold_for,
-            heard_at: now,
+            last_seen_at: now,
             is_reopened: false,
         });
         match state {
@@ -262,7 +262,7 @@
     /// longer than a word of an earlier life is late.
     fn may_be_followed_by(&self, now: Instant, life: &BackEndProcess) -> bool {
         let Some(present) = &self.present else { return true };
-        let is_silent = now.saturating_duration_since(present.heard_at) > LATEST_WORD;
+        let is_silent = now.saturating_duration_since(present.last_seen_at) > LATEST_WORD;
         let is_over = present.state == BackEndState::Unreachable || is_silent;
         is_over || !life.started_before(&present.back_end.life)
     }
@@ -305,7 +305,7 @@
 
     /// Whether this life, of which the start was never told, has said that it leaves for so long that a word with a start is of the next one.
     fn has_surely_left(&self, now: Instant, told: &BackEndProcess) -> bool {
-        let is_silent = now.saturating_duration_since(self.heard_at) > LATEST_WORD;
+        let is_silent = now.saturating_duration_since(self.last_seen_at) > LATEST_WORD;
         let tells_more = self.back_end.life.born.is_none() && told.born.is_some();
         self.state == BackEndState::Draining && tells_more && is_silent
     }
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -255,11 +255,11 @@
         let running = |record: &&MemberRecord| record.phase == MemberPhase::Running;
         let reachable = self.membership.reachable().filter(running).map(|record| record.node.clone());
         let word_at = self.membership.store_word_at();
-        let heard_at = word_at.unwrap_or(self.started_at);
+        let last_seen_at = word_at.unwrap_or(self.started_at);
         StoreView {
             own: self.membership.own().node.clone(),
             others: reachable.chain(self.membership.expected_candidates(now).cloned()).collect(),
-            silent_for: now.saturating_duration_since(heard_at),
+            silent_for: now.saturating_duration_since(last_seen_at),
             is_heard: word_at.is_some(),
             has_joined: self.has_joined || now.saturating_duration_since(self.started_at) > JOIN_TIME,
         }
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -31,7 +31,7 @@
     /// Its configuration as told last.
     pub configuration: ConfigurationWord,
     /// When that was told; absent if it never told this node itself.
-    pub heard_at: Option<Instant>,
+    pub last_seen_at: Option<Instant>,
 }
 
 /// How this node watches a neighbour.
@@ -64,7 +64,7 @@
     pub(crate) reachability: Reachability,
     /// When the record was taken in first, the node was heard last, or it went out.
     pub(crate) known_since: Instant,
-    pub(crate) heard_at: Option<Instant>,
+    pub(crate) last_seen_at: Option<Instant>,
     heard: Option<Echo>,
     /// The latest record of this node that the other one holds.
     held_there: Option<RecordOrder>,
@@ -107,7 +107,7 @@
     #[must_use]
     pub fn store_age(&self, now: Instant) -> Option<Duration> {
         let told = Duration::from_millis(u64::from(self.configuration.store_age_millis?));
-        Some(told + now.saturating_duration_since(self.heard_at?))
+        Some(told + now.saturating_duration_since(self.last_seen_at?))
     }
 }
 
@@ -120,7 +120,7 @@
             configuration: ConfigurationWord::default(),
             reachability: Reachability::Silent,
             known_since: now,
-            heard_at: None,
+            last_seen_at: None,
             heard: None,
             held_there: None,
             echoed_sent_at: None,
@@ -176,7 +176,7 @@
             return;
         }
         self.heard = Some(Echo { life: heartbeat.word.order().life, number: heartbeat.number });
-        self.heard_at = Some(now);
+        self.last_seen_at = Some(now);
         self.known_since = now;
         self.load = heartbeat.load;
         self.configuration = heartbeat.configuration;
@@ -272,7 +272,7 @@
     /// Goes on from now as if the node had just been heard: this process itself did not run for a while.
     pub(crate) fn excuse(&mut self, now: Instant) {
         if self.reachability == Reachability::Reachable {
-            self.heard_at = self.heard_at.map(|_| now);
+            self.last_seen_at = self.last_seen_at.map(|_| now);
             self.echoed_sent_at = self.echoed_sent_at.map(|_| now);
         }
         self.watch = self.watch.map(|(watch, _since)| (watch, now));
@@ -281,7 +281,7 @@
     /// Takes in that this process's machine was suspended: what was heard is older by that, and a finding needs new heartbeats.
     pub(crate) fn on_suspended(&mut self, now: Instant, suspended: Duration) {
         let aged = |at: Option<Instant>| at.map(|at| at.checked_sub(suspended).unwrap_or(at));
-        self.heard_at = aged(self.heard_at);
+        self.last_seen_at = aged(self.last_seen_at);
         self.echoed_sent_at = aged(self.echoed_sent_at);
         self.watch = self.watch.map(|(watch, _since)| (watch, now));
         self.send_next_at = now;
@@ -293,7 +293,7 @@
         let is_recent =
             |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) <= watch.silence);
         let is_new = now.saturating_duration_since(since) <= watch.silence;
-        match (is_recent(self.heard_at), is_recent(self.echoed_sent_at)) {
+        match (is_recent(self.last_seen_at), is_recent(self.echoed_sent_at)) {
             (true, true) => Some(Reachability::Reachable),
             _ if is_new => None,
             (true, false) => Some(Reachability::OneWay),
@@ -306,12 +306,12 @@
         let Some((watch, _since)) = self.watch else { return false };
         let limit = watch.silence.mul_f64(PROOF_SHARE);
         let is_recent = |at: Option<Instant>| at.is_some_and(|at| now.saturating_duration_since(at) <= limit);
-        !is_recent(self.heard_at) || !is_recent(self.echoed_sent_at)
+        !is_recent(self.last_seen_at) || !is_recent(self.echoed_sent_at)
     }
 
     /// Whether its neighbours have left it out and nothing was heard of it since.
     fn is_unheard_since_left_out(&self) -> bool {
-        self.accused_out_at.is_some_and(|out_at| self.heard_at.is_none_or(|at| at <= out_at))
+        self.accused_out_at.is_some_and(|out_at| self.last_seen_at.is_none_or(|at| at <= out_at))
     }
 
     /// Finds out anew whether the node can be reached; tells whether that changed.
@@ -402,7 +402,7 @@
             reachability: self.reachability,
             load: self.load,
             configuration: self.configuration,
-            heard_at: self.heard_at,
+            last_seen_at: self.last_seen_at,
         }
     }
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -270,8 +270,8 @@
     }
 
     fn heard_lately(&self, number: usize) -> Vec<usize> {
-        let is_recent = |heard_at: Instant| self.now - heard_at < Duration::from_millis(300);
-        let heard = self.nodes[&number].members().filter(|member| member.heard_at.is_some_and(is_recent));
+        let is_recent = |last_seen_at: Instant| self.now - last_seen_at < Duration::from_millis(300);
+        let heard = self.nodes[&number].members().filter(|member| member.last_seen_at.is_some_and(is_recent));
         heard.map(|member| number_at(member.record.control)).collect()
     }
 
