--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 use umberpond_forwarding::{Inbound, Outbound};
-use umberpond_membership::{Datagram, MemberPhase, MemberRecord, Membership, MembershipNote, Outgoing};
+use umberpond_membership::{Datagram, MemberPhase, MemberRecord, Membership, MembershipEvent, Outgoing};
 use umberpond_net::BoxDatagrams;
 use umberpond_rollouts::ReleaseEvidence;
 use umberpond_telemetry::{Event, Telemetry};
@@ -267,7 +267,7 @@
 
     fn tell_notes(&mut self) {
         for note in self.membership.take_notes() {
-            if matches!(note, MembershipNote::Stalled { .. } | MembershipNote::Refuted { .. }) {
+            if matches!(note, MembershipEvent::Stalled { .. } | MembershipEvent::Refuted { .. }) {
                 // It may have missed what the others told one another meanwhile.
                 self.suspects.doubt();
             }
@@ -305,23 +305,23 @@
     }
 }
 
-fn event_of(note: MembershipNote) -> Event {
+fn event_of(note: MembershipEvent) -> Event {
     match note {
-        MembershipNote::FoundSilent { node, silent_for } => {
+        MembershipEvent::FoundSilent { node, silent_for } => {
             Event::NeighbourSilent { node, silent_millis: millis(silent_for) }
         }
-        MembershipNote::LeftOut { node, accusers, known_for } => {
+        MembershipEvent::LeftOut { node, accusers, known_for } => {
             Event::NodeLeftOut { node, accusers: accusers as u64, known_millis: millis(known_for) }
         }
-        MembershipNote::Refuted { sequence } => Event::LeavingOutRefuted { sequence },
-        MembershipNote::ZoneCut { locality, silent } => {
+        MembershipEvent::Refuted { sequence } => Event::LeavingOutRefuted { sequence },
+        MembershipEvent::ZoneCut { locality, silent } => {
             Event::ZoneCutOff { zone: locality.to_string(), silent: silent as u64 }
         }
-        MembershipNote::ZoneBack { locality } => Event::ZoneBack { zone: locality.to_string() },
-        MembershipNote::Stalled { stalled_for } => {
+        MembershipEvent::ZoneBack { locality } => Event::ZoneBack { zone: locality.to_string() },
+        MembershipEvent::Stalled { stalled_for } => {
             Event::ProcessStalled { stalled_millis: millis(stalled_for) }
         }
-        MembershipNote::RepairAsked { bucket, differs_for } => {
+        MembershipEvent::RepairAsked { bucket, differs_for } => {
             let bucket = u64::from(bucket);
             Event::MembershipRepairAsked { bucket, differs_millis: millis(differs_for) }
         }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -23,6 +23,6 @@
 };
 pub use member::{MemberView, Reachability};
 pub use membership::{Membership, Outgoing};
-pub use note::MembershipNote;
+pub use note::MembershipEvent;
 pub use record::{BackEndRecord, BackEndState, DirectoryEntry, MemberPhase, MemberRecord, RecordOrder};
 pub use settings::MembershipSettings;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -19,7 +19,7 @@
 use crate::heartbeat::{ConfigurationWord, Datagram, Heartbeat};
 use crate::member::{Member, MemberView, Reachability};
 use crate::neighbours::Zones;
-use crate::note::MembershipNote;
+use crate::note::MembershipEvent;
 use crate::record::{BackEndRecord, BackEndState, MemberPhase, MemberRecord, RecordOrder};
 use crate::settings::MembershipSettings;
 use joining::Joining;
@@ -76,7 +76,7 @@
     last_tick_at: Option<Instant>,
     gossip_next_at: Option<Instant>,
     forget_next_at: Option<Instant>,
-    notes: Vec<MembershipNote>,
+    notes: Vec<MembershipEvent>,
     has_changed: bool,
     /// Whether what has changed concerns requests that are sent now.
     is_urgent: bool,
@@ -192,7 +192,7 @@
     }
 
     /// What was found out since this was asked last.
-    pub fn take_notes(&mut self) -> Vec<MembershipNote> {
+    pub fn take_notes(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.notes)
     }
 
@@ -333,7 +333,7 @@
         self.is_urgent |= is_urgent;
     }
 
-    fn note(&mut self, note: MembershipNote) {
+    fn note(&mut self, note: MembershipEvent) {
         if self.notes.len() < MAX_NOTES {
             self.notes.push(note);
         }
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -10,7 +10,7 @@
 use crate::digest::{BucketDigest, bucket_of};
 use crate::heartbeat::{Accusation, BucketOrders, Datagram, Heartbeat, News, SenderWord};
 use crate::member::{Member, Reachability};
-use crate::note::MembershipNote;
+use crate::note::MembershipEvent;
 use crate::record::{MemberPhase, MemberRecord, RecordOrder};
 
 /// Time for which digests have to differ before records are asked for: news are on their way for less.
@@ -252,7 +252,7 @@
         if accusers > 0 {
             self.suspects.remove(&node);
             self.are_zones_stale = true;
-            self.note(MembershipNote::LeftOut { node: node.clone(), accusers, known_for });
+            self.note(MembershipEvent::LeftOut { node: node.clone(), accusers, known_for });
         } else {
             self.suspects.insert(node.clone());
         }
@@ -270,7 +270,7 @@
         if self.own_accusers.len() < self.settings.accusers_needed {
             return Vec::new();
         }
-        self.note(MembershipNote::Refuted { sequence: self.own.sequence + 1 });
+        self.note(MembershipEvent::Refuted { sequence: self.own.sequence + 1 });
         self.change_own(now)
     }
 
@@ -293,7 +293,7 @@
         }
         *asked_at = Some(now);
         let bucket = digest.bucket;
-        self.note(MembershipNote::RepairAsked { bucket, differs_for });
+        self.note(MembershipEvent::RepairAsked { bucket, differs_for });
         let orders = BucketOrders { bucket, orders: self.orders_in(bucket) };
         vec![Outgoing { to, datagram: Datagram::Orders(orders) }]
     }
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -11,7 +11,7 @@
 use crate::digest::bucket_of;
 use crate::member::{Member, Reachability};
 use crate::neighbours::{Zones, neighbours};
-use crate::note::MembershipNote;
+use crate::note::MembershipEvent;
 use crate::record::MemberPhase;
 
 /// Time between two ticks from which on this process counts as not having run: it judges nobody by what it missed.
@@ -66,7 +66,7 @@
                 member.excuse(now);
             }
         }
-        self.note(MembershipNote::Stalled { stalled_for });
+        self.note(MembershipEvent::Stalled { stalled_for });
     }
 
     /// Takes in that the machine was suspended for so long, which no clock of this core has counted: all that was heard is older by that. Nobody is judged by what was not heard
@@ -149,13 +149,13 @@
             return;
         }
         let silent_in = |locality: &Locality| findings.get(locality).map_or(0, |finding| finding.silent);
-        let mut notes: Vec<MembershipNote> = Vec::new();
+        let mut notes: Vec<MembershipEvent> = Vec::new();
         for locality in cut.difference(&self.cut) {
             let silent = silent_in(locality);
-            notes.push(MembershipNote::ZoneCut { locality: locality.clone(), silent });
+            notes.push(MembershipEvent::ZoneCut { locality: locality.clone(), silent });
         }
         for locality in self.cut.difference(&cut) {
-            notes.push(MembershipNote::ZoneBack { locality: locality.clone() });
+            notes.push(MembershipEvent::ZoneBack { locality: locality.clone() });
         }
         let changed: BTreeSet<Locality> = cut.symmetric_difference(&self.cut).cloned().collect();
         self.cut = cut;
@@ -185,7 +185,7 @@
             member.on_accused_by_own(now);
             let accusation = member.accusation(self.own.life);
             let silent_for = now.saturating_duration_since(member.known_since);
-            self.note(MembershipNote::FoundSilent { node, silent_for });
+            self.note(MembershipEvent::FoundSilent { node, silent_for });
             // Nothing of it concerns this node itself, so there is no answer.
             let _none = self.on_accusation(now, accusation);
         }
--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -6,7 +6,7 @@
 
 /// One change of what this node believes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MembershipNote {
+pub enum MembershipEvent {
     /// This node finds a neighbour silent, and tells others.
     FoundSilent {
         /// The neighbour.
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -6,7 +6,7 @@
 
 use support::{World, back_end};
 use umberpond_membership::{
-    Accusation, BackEndState, Datagram, MemberPhase, MembershipNote, News, Outgoing, Reachability,
+    Accusation, BackEndState, Datagram, MemberPhase, MembershipEvent, News, Outgoing, Reachability,
 };
 use umberpond_model::Version;
 
@@ -117,7 +117,7 @@
     world.run_millis(6_000);
     world.loss = 0.0;
     let notes = world.take_notes();
-    let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipNote::LeftOut { .. }));
+    let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipEvent::LeftOut { .. }));
     assert_eq!(left_out.count(), 0);
 }
 
@@ -146,7 +146,7 @@
     assert!(world.nodes.keys().filter(|to| **to != 7).all(|to| world.reaches(7, *to)));
     let notes = world.take_notes();
     let by_it = notes.iter().filter(|(number, _)| *number == 7).map(|(_, note)| note);
-    let accused = by_it.filter(|note| matches!(note, MembershipNote::FoundSilent { .. }));
+    let accused = by_it.filter(|note| matches!(note, MembershipEvent::FoundSilent { .. }));
     assert_eq!(accused.count(), 0, "it was this node that did not run");
 }
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -10,7 +10,7 @@
 use rand_chacha::ChaCha8Rng;
 use umberpond_membership::{
     BackEndRecord, BackEndState, Datagram, DirectoryEntry, MemberPhase, MemberRecord, MemberView, Membership,
-    MembershipNote, MembershipSettings, Outgoing,
+    MembershipEvent, MembershipSettings, Outgoing,
 };
 use umberpond_model::{Evacuations, Incarnation, Locality, NodeName, Version};
 
@@ -90,7 +90,7 @@
     pub bytes: u64,
     pub bytes_between_zones: u64,
     pub bytes_by_kind: BTreeMap<&'static str, u64>,
-    notes: Vec<(usize, MembershipNote)>,
+    notes: Vec<(usize, MembershipEvent)>,
     lives: u64,
     zones: usize,
     /// Nodes whose processes do not run for now; what is sent to them waits.
@@ -251,7 +251,7 @@
     }
 
     /// What the nodes have found out since this was asked last.
-    pub fn take_notes(&mut self) -> Vec<(usize, MembershipNote)> {
+    pub fn take_notes(&mut self) -> Vec<(usize, MembershipEvent)> {
         for (number, membership) in &mut self.nodes {
             self.notes.extend(membership.take_notes().into_iter().map(|note| (*number, note)));
         }
