--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -310,7 +310,7 @@
         MembershipEvent::FoundSilent { node, silent_for } => {
             Event::NeighbourSilent { node, silent_millis: millis(silent_for) }
         }
-        MembershipEvent::LeftOut { node, accusers, known_for } => {
+        MembershipEvent::NodeExcluded { node, accusers, known_for } => {
             Event::NodeLeftOut { node, accusers: accusers as u64, known_millis: millis(known_for) }
         }
         MembershipEvent::Refuted { sequence } => Event::LeavingOutRefuted { sequence },
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -252,7 +252,7 @@
         if accusers > 0 {
             self.suspects.remove(&node);
             self.are_zones_stale = true;
-            self.note(MembershipEvent::LeftOut { node: node.clone(), accusers, known_for });
+            self.note(MembershipEvent::NodeExcluded { node: node.clone(), accusers, known_for });
         } else {
             self.suspects.insert(node.clone());
         }
--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -15,7 +15,7 @@
         silent_for: Duration,
     },
     /// Enough neighbours of a node have found it silent: it is left out.
-    LeftOut {
+    NodeExcluded {
         /// The node.
         node: NodeName,
         /// How many of its neighbours.
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -117,7 +117,7 @@
     world.run_millis(6_000);
     world.loss = 0.0;
     let notes = world.take_notes();
-    let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipEvent::LeftOut { .. }));
+    let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipEvent::NodeExcluded { .. }));
     assert_eq!(left_out.count(), 0);
 }
 
