--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -314,7 +314,7 @@
             Event::NodeLeftOut { node, accusers: accusers as u64, known_millis: millis(known_for) }
         }
         MembershipEvent::Refuted { sequence } => Event::LeavingOutRefuted { sequence },
-        MembershipEvent::ZoneCut { locality, silent } => {
+        MembershipEvent::ZoneUnreachable { locality, silent } => {
             Event::ZoneCutOff { zone: locality.to_string(), silent: silent as u64 }
         }
         MembershipEvent::ZoneBack { locality } => Event::ZoneBack { zone: locality.to_string() },
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -152,7 +152,7 @@
         let mut notes: Vec<MembershipEvent> = Vec::new();
         for locality in cut.difference(&self.cut) {
             let silent = silent_in(locality);
-            notes.push(MembershipEvent::ZoneCut { locality: locality.clone(), silent });
+            notes.push(MembershipEvent::ZoneUnreachable { locality: locality.clone(), silent });
         }
         for locality in self.cut.difference(&cut) {
             notes.push(MembershipEvent::ZoneBack { locality: locality.clone() });
--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -29,7 +29,7 @@
         sequence: u64,
     },
     /// Nothing passes between this node and a zone any more.
-    ZoneCut {
+    ZoneUnreachable {
         /// The zone.
         locality: Locality,
         /// How many of its nodes were looked at in vain.
