--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -321,7 +321,7 @@
         MembershipEvent::Stalled { stalled_for } => {
             Event::ProcessStalled { stalled_millis: millis(stalled_for) }
         }
-        MembershipEvent::RepairAsked { bucket, differs_for } => {
+        MembershipEvent::RepairRequested { bucket, differs_for } => {
             let bucket = u64::from(bucket);
             Event::MembershipRepairAsked { bucket, differs_millis: millis(differs_for) }
         }
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -293,7 +293,7 @@
         }
         *asked_at = Some(now);
         let bucket = digest.bucket;
-        self.note(MembershipEvent::RepairAsked { bucket, differs_for });
+        self.note(MembershipEvent::RepairRequested { bucket, differs_for });
         let orders = BucketOrders { bucket, orders: self.orders_in(bucket) };
         vec![Outgoing { to, datagram: Datagram::Orders(orders) }]
     }
--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -46,7 +46,7 @@
         stalled_for: Duration,
     },
     /// Records were missed and are asked for.
-    RepairAsked {
+    RepairRequested {
         /// The bucket that differs.
         bucket: u8,
         /// For how long it has differed.
