--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -266,7 +266,7 @@
     }
 
     fn tell_notes(&mut self) {
-        for note in self.membership.take_notes() {
+        for note in self.membership.take_events() {
             if matches!(note, MembershipEvent::Stalled { .. } | MembershipEvent::Refuted { .. }) {
                 // It may have missed what the others told one another meanwhile.
                 self.suspects.doubt();
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -192,7 +192,7 @@
     }
 
     /// What was found out since this was asked last.
-    pub fn take_notes(&mut self) -> Vec<MembershipEvent> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.notes)
     }
 
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -116,7 +116,7 @@
     world.loss = 0.05;
     world.run_millis(6_000);
     world.loss = 0.0;
-    let notes = world.take_notes();
+    let notes = world.take_events();
     let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipEvent::NodeExcluded { .. }));
     assert_eq!(left_out.count(), 0);
 }
@@ -139,12 +139,12 @@
     world.frozen.insert(7);
     world.run_millis(5_000);
     assert_eq!(reaching(&world, 7), 0);
-    world.take_notes();
+    world.take_events();
     world.frozen.remove(&7);
     world.run_millis(1_000);
     assert_eq!(reaching(&world, 7), NODES - 1);
     assert!(world.nodes.keys().filter(|to| **to != 7).all(|to| world.reaches(7, *to)));
-    let notes = world.take_notes();
+    let notes = world.take_events();
     let by_it = notes.iter().filter(|(number, _)| *number == 7).map(|(_, note)| note);
     let accused = by_it.filter(|note| matches!(note, MembershipEvent::FoundSilent { .. }));
     assert_eq!(accused.count(), 0, "it was this node that did not run");
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -251,9 +251,9 @@
     }
 
     /// What the nodes have found out since this was asked last.
-    pub fn take_notes(&mut self) -> Vec<(usize, MembershipEvent)> {
+    pub fn take_events(&mut self) -> Vec<(usize, MembershipEvent)> {
         for (number, membership) in &mut self.nodes {
-            self.notes.extend(membership.take_notes().into_iter().map(|note| (*number, note)));
+            self.notes.extend(membership.take_events().into_iter().map(|note| (*number, note)));
         }
         std::mem::take(&mut self.notes)
     }
