--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -150,7 +150,7 @@
             MembershipMessage::Phase(phase) => self.membership.set_phase(now, phase),
             MembershipMessage::Version(version) => self.membership.set_version(now, version),
             MembershipMessage::StoreHeard => {
-                self.membership.on_store_heard(now);
+                self.membership.on_store_response(now);
                 Vec::new()
             }
             MembershipMessage::StoreView(reply) => {
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -214,7 +214,7 @@
     }
 
     /// Takes in that the store itself has answered this node.
-    pub fn on_store_heard(&mut self, now: Instant) {
+    pub fn on_store_response(&mut self, now: Instant) {
         self.store_heard_at = Some(now);
         self.store_word_at = Some(now);
     }
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -258,7 +258,7 @@
 fn a_version_is_told_to_a_few_at_once_and_reaches_all_within_a_second() {
     let mut world = settled(17, NODES);
     world.tell(4, |membership, now| {
-        membership.on_store_heard(now);
+        membership.on_store_response(now);
         let outgoing = membership.set_version(now, Version(9));
         assert!(outgoing.len() <= 11, "{}", outgoing.len());
         outgoing
@@ -283,7 +283,7 @@
     for round in 0..80 {
         if round % 7 == 0 {
             world.tell(11, |membership, now| {
-                membership.on_store_heard(now);
+                membership.on_store_response(now);
                 Vec::<Outgoing>::new()
             });
         }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -43,7 +43,7 @@
 fn a_node_whose_machine_was_suspended_takes_nothing_old_for_fresh_and_accuses_nobody() {
     let mut world = World::joined(21, 8);
     world.tell(0, |membership, now| {
-        membership.on_store_heard(now);
+        membership.on_store_response(now);
         Vec::new()
     });
     world.run_millis(1_000);
