--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -46,7 +46,7 @@
     load: LoadReport,
     version: Option<Version>,
     /// When the store itself answered this node last.
-    store_heard_at: Option<Instant>,
+    own_store_contact: Option<Instant>,
     /// The latest moment at which any node is known to have heard from the store.
     store_word_at: Option<Instant>,
     members: BTreeMap<NodeName, Member>,
@@ -93,7 +93,7 @@
             own,
             load: LoadReport::default(),
             version: None,
-            store_heard_at: None,
+            own_store_contact: None,
             store_word_at: None,
             members: BTreeMap::new(),
             lives: BTreeMap::new(),
@@ -215,14 +215,14 @@
 
     /// Takes in that the store itself has answered this node.
     pub fn on_store_response(&mut self, now: Instant) {
-        self.store_heard_at = Some(now);
+        self.own_store_contact = Some(now);
         self.store_word_at = Some(now);
     }
 
     /// When the store itself answered this node last.
     #[must_use]
-    pub const fn store_heard_at(&self) -> Option<Instant> {
-        self.store_heard_at
+    pub const fn own_store_contact(&self) -> Option<Instant> {
+        self.own_store_contact
     }
 
     /// The latest moment at which any node is known here to have heard from the store.
--- a/crates/membership/src/membership/spread.rs
+++ b/crates/membership/src/membership/spread.rs
@@ -179,7 +179,7 @@
         let near = self.zones.near.iter().filter(is_behind);
         let mut told: Vec<NodeName> =
             near.sample(&mut self.random, self.settings.news_fanout).into_iter().cloned().collect();
-        let has_read = self.store_heard_at.is_some_and(|at| now.saturating_duration_since(at) < IS_READER);
+        let has_read = self.own_store_contact.is_some_and(|at| now.saturating_duration_since(at) < IS_READER);
         let chance = self.relay_chance();
         for nodes in self.zones.far.values() {
             let is_told = has_read || self.random.random_bool(chance);
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -73,7 +73,7 @@
     /// meanwhile, and the neighbours are asked for an answer at once.
     pub fn on_suspended(&mut self, now: Instant, suspended: Duration) {
         let aged = |at: Option<Instant>| at.map(|at| at.checked_sub(suspended).unwrap_or(at));
-        self.store_heard_at = aged(self.store_heard_at);
+        self.own_store_contact = aged(self.own_store_contact);
         self.store_word_at = aged(self.store_word_at);
         for member in self.members.values_mut() {
             member.on_suspended(now, suspended);
