--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -254,7 +254,7 @@
     fn store_view(&self, now: std::time::Instant) -> StoreView {
         let running = |record: &&MemberRecord| record.phase == MemberPhase::Running;
         let reachable = self.membership.reachable().filter(running).map(|record| record.node.clone());
-        let word_at = self.membership.store_word_at();
+        let word_at = self.membership.last_store_contact();
         let last_seen_at = word_at.unwrap_or(self.started_at);
         StoreView {
             own: self.membership.own().node.clone(),
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -48,7 +48,7 @@
     /// When the store itself answered this node last.
     own_store_contact: Option<Instant>,
     /// The latest moment at which any node is known to have heard from the store.
-    store_word_at: Option<Instant>,
+    last_store_contact: Option<Instant>,
     members: BTreeMap<NodeName, Member>,
     /// Names of the members by the random numbers of their processes.
     lives: BTreeMap<u64, NodeName>,
@@ -94,7 +94,7 @@
             load: LoadReport::default(),
             version: None,
             own_store_contact: None,
-            store_word_at: None,
+            last_store_contact: None,
             members: BTreeMap::new(),
             lives: BTreeMap::new(),
             active: BTreeSet::new(),
@@ -216,7 +216,7 @@
     /// Takes in that the store itself has answered this node.
     pub fn on_store_response(&mut self, now: Instant) {
         self.own_store_contact = Some(now);
-        self.store_word_at = Some(now);
+        self.last_store_contact = Some(now);
     }
 
     /// When the store itself answered this node last.
@@ -227,8 +227,8 @@
 
     /// The latest moment at which any node is known here to have heard from the store.
     #[must_use]
-    pub const fn store_word_at(&self) -> Option<Instant> {
-        self.store_word_at
+    pub const fn last_store_contact(&self) -> Option<Instant> {
+        self.last_store_contact
     }
 
     /// Sets what is said of the back end, and tells it at once.
@@ -395,7 +395,7 @@
     }
 
     fn configuration_word(&self, now: Instant) -> ConfigurationWord {
-        let age = self.store_word_at.map(|at| now.saturating_duration_since(at).as_millis());
+        let age = self.last_store_contact.map(|at| now.saturating_duration_since(at).as_millis());
         ConfigurationWord {
             version: self.version,
             store_age_millis: age.map(|millis| u32::try_from(millis).unwrap_or(u32::MAX)),
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -220,7 +220,7 @@
     fn on_store_word(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let age = heartbeat.configuration.store_age_millis.map(u64::from).map(Duration::from_millis);
         let word_at = age.and_then(|age| now.checked_sub(age));
-        self.store_word_at = self.store_word_at.max(word_at);
+        self.last_store_contact = self.last_store_contact.max(word_at);
     }
 
     /// Takes in that the sender leaves this node out, and by whose findings.
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -74,7 +74,7 @@
     pub fn on_suspended(&mut self, now: Instant, suspended: Duration) {
         let aged = |at: Option<Instant>| at.map(|at| at.checked_sub(suspended).unwrap_or(at));
         self.own_store_contact = aged(self.own_store_contact);
-        self.store_word_at = aged(self.store_word_at);
+        self.last_store_contact = aged(self.last_store_contact);
         for member in self.members.values_mut() {
             member.on_suspended(now, suspended);
         }
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -292,7 +292,7 @@
             continue;
         }
         for membership in world.nodes.values() {
-            let age = world.now.saturating_duration_since(membership.store_word_at().unwrap());
+            let age = world.now.saturating_duration_since(membership.last_store_contact().unwrap());
             oldest = oldest.max(age);
         }
     }
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -47,7 +47,7 @@
         Vec::new()
     });
     world.run_millis(1_000);
-    let word_at = world.nodes[&3].store_word_at().unwrap();
+    let word_at = world.nodes[&3].last_store_contact().unwrap();
     let silent = std::time::Duration::from_secs(5);
     let mut accusations = 0;
     world.tell(3, |membership, now| {
@@ -62,7 +62,7 @@
         outgoing
     });
     assert_eq!(accusations, 0);
-    assert_eq!(world.nodes[&3].store_word_at(), word_at.checked_sub(silent));
+    assert_eq!(world.nodes[&3].last_store_contact(), word_at.checked_sub(silent));
     world.run_millis(1_000);
     assert!(world.all_reach_all());
 }
