--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -49,7 +49,7 @@
         match news {
             SuspectMessage::Told(records) => {
                 let changed = self.quarantine.join(records, FindingSource::Node).changed;
-                if changed.is_empty() || membership.tells_all() {
+                if changed.is_empty() || membership.broadcasts_to_all() {
                     return Vec::new();
                 }
                 Self::tell(membership, &self.quarantine.records(&changed))
--- a/crates/membership/src/membership/spread.rs
+++ b/crates/membership/src/membership/spread.rs
@@ -148,13 +148,13 @@
 
     /// Whether what concerns all nodes is told to all of them by whoever finds it.
     #[must_use]
-    pub fn tells_all(&self) -> bool {
+    pub fn broadcasts_to_all(&self) -> bool {
         self.is_full_mesh()
     }
 
     /// Addresses of the nodes that are told at once what concerns all nodes: all, or some that pass it on.
     pub fn audience(&mut self) -> Vec<SocketAddr> {
-        let count = if self.tells_all() { usize::MAX } else { self.settings.news_fanout };
+        let count = if self.broadcasts_to_all() { usize::MAX } else { self.settings.news_fanout };
         self.draw_reachable(count)
     }
 
