--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -98,14 +98,14 @@
         self.compare_next_at = Some(now + COMPARE_INTERVAL);
         // Where nothing is known there is nothing that others could lack.
         let Some(digest) = self.quarantine.digest().filter(|digest| *digest != 0) else { return Vec::new() };
-        let compared = membership.draw_reachable(1).into_iter();
+        let compared = membership.sample_reachable(1).into_iter();
         compared.map(|to| outgoing(to, SuspectMessage::Digest(digest))).collect()
     }
 
     /// Asks some nodes for all that they know, and tells them what is known here.
     pub(super) fn ask(&self, membership: &mut Membership) -> Vec<Outgoing> {
         let records = self.quarantine.repair_records();
-        let asked = membership.draw_reachable(ASKED).into_iter();
+        let asked = membership.sample_reachable(ASKED).into_iter();
         asked.flat_map(|to| repair(to, &records, true)).collect()
     }
 }
--- a/crates/membership/src/membership/spread.rs
+++ b/crates/membership/src/membership/spread.rs
@@ -155,11 +155,11 @@
     /// Addresses of the nodes that are told at once what concerns all nodes: all, or some that pass it on.
     pub fn audience(&mut self) -> Vec<SocketAddr> {
         let count = if self.broadcasts_to_all() { usize::MAX } else { self.settings.news_fanout };
-        self.draw_reachable(count)
+        self.sample_reachable(count)
     }
 
     /// Addresses of up to `count` nodes that can be reached, drawn at random.
-    pub fn draw_reachable(&mut self, count: usize) -> Vec<SocketAddr> {
+    pub fn sample_reachable(&mut self, count: usize) -> Vec<SocketAddr> {
         let reachable = self.members.values().filter(|member| member.reachability == Reachability::Reachable);
         let addresses = reachable.map(|member| member.record.control);
         addresses.sample(&mut self.random, count)
