--- a/crates/daemon/src/configuration/activation.rs
+++ b/crates/daemon/src/configuration/activation.rs
@@ -4,7 +4,7 @@
 
 use parking_lot::Mutex;
 use umberpond_config::{SealKeyPair, Snapshot};
-use umberpond_distribution::Versioned;
+use umberpond_distribution::VersionedConfiguration;
 use umberpond_forwarding::{OpenedSecrets, Outbound, RoutingTable};
 use umberpond_model::ServiceName;
 use umberpond_telemetry::{Event, Telemetry, VersionStage};
@@ -14,7 +14,7 @@
     outbound: Arc<Outbound>,
     seal_key: Option<Arc<SealKeyPair>>,
     telemetry: Telemetry,
-    active: Mutex<Option<Versioned>>,
+    active: Mutex<Option<VersionedConfiguration>>,
 }
 
 impl std::fmt::Debug for Activation {
@@ -34,7 +34,7 @@
 
     /// The configuration in force.
     #[must_use]
-    pub fn active(&self) -> Option<Versioned> {
+    pub fn active(&self) -> Option<VersionedConfiguration> {
         self.active.lock().clone()
     }
 
@@ -60,7 +60,7 @@
     }
 
     /// Puts `offered` in force, whole or not at all; `false` if it could not be.
-    pub(crate) fn activate(&self, offered: &Versioned) -> bool {
+    pub(crate) fn activate(&self, offered: &VersionedConfiguration) -> bool {
         let opened = self.open_secrets(&offered.snapshot);
         let caller = self.outbound.caller();
         let table = match RoutingTable::compile(offered.version, &offered.snapshot, &opened, &caller) {
--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -9,7 +9,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
-use umberpond_distribution::{HeldConfiguration, Holders, Transfer, TransferError, Versioned};
+use umberpond_distribution::{HeldConfiguration, Holders, Transfer, TransferError, VersionedConfiguration};
 use umberpond_net::Network;
 use umberpond_telemetry::{Direction, Event, Telemetry};
 
@@ -86,7 +86,7 @@
             ConfigurationMessage::Sourced(sourced) => {
                 // The hash is worked out only for what is new.
                 if state.held.version() < Some(sourced.version) {
-                    let _ = state.offer(Versioned::new(sourced.version, sourced.snapshot));
+                    let _ = state.offer(VersionedConfiguration::new(sourced.version, sourced.snapshot));
                 }
             }
             ConfigurationMessage::Pull { held, reply } => {
@@ -105,7 +105,7 @@
         }
         let Some(from) = self.holders.choose(&mut self.random) else { return };
         self.is_fetching = true;
-        let held = self.held.newest().map(Versioned::held);
+        let held = self.held.newest().map(VersionedConfiguration::held);
         let network = Arc::clone(&self.network);
         let myself = myself.clone();
         tokio::spawn(async move {
@@ -132,7 +132,7 @@
         self.fetch_if_behind(myself);
     }
 
-    fn receive(&self, bytes: &[u8]) -> Result<Option<Versioned>, TransferError> {
+    fn receive(&self, bytes: &[u8]) -> Result<Option<VersionedConfiguration>, TransferError> {
         self.telemetry.metrics().control(Direction::In, TRANSFER, bytes.len());
         self.held.receive(Transfer::from_bytes(bytes)?)
     }
@@ -152,7 +152,7 @@
     }
 
     /// Puts a newer configuration in force and tells the others; `false` if it could not be put in force.
-    fn offer(&mut self, offered: Versioned) -> bool {
+    fn offer(&mut self, offered: VersionedConfiguration) -> bool {
         if self.held.version() >= Some(offered.version) || !self.activation.activate(&offered) {
             return false;
         }
--- a/crates/distribution/src/held.rs
+++ b/crates/distribution/src/held.rs
@@ -15,7 +15,7 @@
 
 /// A whole configuration and its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Versioned {
+pub struct VersionedConfiguration {
     /// The version.
     pub version: Version,
     /// Hash of the content.
@@ -24,7 +24,7 @@
     pub snapshot: Arc<Snapshot>,
 }
 
-impl Versioned {
+impl VersionedConfiguration {
     /// A configuration with its hash.
     #[must_use]
     pub fn new(version: Version, snapshot: Snapshot) -> Self {
@@ -41,8 +41,8 @@
 /// The configuration that a node holds. It only ever moves to a higher version.
 #[derive(Debug, Default)]
 pub struct HeldConfiguration {
-    newest: Option<Versioned>,
-    earlier: VecDeque<Versioned>,
+    newest: Option<VersionedConfiguration>,
+    earlier: VecDeque<VersionedConfiguration>,
     /// Transfers to the newest, encoded.
     prepared: VecDeque<PreparedTransfer>,
 }
@@ -57,7 +57,7 @@
 impl HeldConfiguration {
     /// The configuration held.
     #[must_use]
-    pub const fn newest(&self) -> Option<&Versioned> {
+    pub const fn newest(&self) -> Option<&VersionedConfiguration> {
         self.newest.as_ref()
     }
 
@@ -68,7 +68,7 @@
     }
 
     /// Takes in a configuration; `false` if it is not newer than the one held.
-    pub fn offer(&mut self, offered: Versioned) -> bool {
+    pub fn offer(&mut self, offered: VersionedConfiguration) -> bool {
         if self.version().is_some_and(|held| held >= offered.version) {
             return false;
         }
@@ -117,7 +117,7 @@
     ///
     /// # Errors
     /// Returns [`TransferError`] if it can't be read or does not lead where it says. Nothing changes then.
-    pub fn receive(&self, transfer: Transfer) -> Result<Option<Versioned>, TransferError> {
+    pub fn receive(&self, transfer: Transfer) -> Result<Option<VersionedConfiguration>, TransferError> {
         let (to, snapshot) = match transfer {
             Transfer::NothingNewer => return Ok(None),
             Transfer::Whole { to, content } => (to, Snapshot::from_bytes(&content)?),
@@ -130,7 +130,7 @@
         if self.version().is_some_and(|held| held >= to.version) {
             return Ok(None);
         }
-        let received = Versioned::new(to.version, snapshot);
+        let received = VersionedConfiguration::new(to.version, snapshot);
         if received.hash != to.hash {
             return Err(TransferError::OtherContent);
         }
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -8,15 +8,15 @@
 use rand::rngs::SmallRng;
 use umberpond_config::{RequestLimits, Snapshot};
 use umberpond_distribution::{
-    HeldConfiguration, Holders, ReaderQuestion, ReaderSettings, Transfer, TransferError, Versioned,
-    reader_turn,
+    HeldConfiguration, Holders, ReaderQuestion, ReaderSettings, Transfer, TransferError,
+    VersionedConfiguration, reader_turn,
 };
 use umberpond_model::{NodeName, Version};
 
 /// A configuration that differs from that of every other number.
-fn versioned(number: u64) -> Versioned {
+fn versioned(number: u64) -> VersionedConfiguration {
     let limits = RequestLimits { head_bytes: number, ..RequestLimits::default() };
-    Versioned::new(Version(number), Snapshot { limits, ..Snapshot::default() })
+    VersionedConfiguration::new(Version(number), Snapshot { limits, ..Snapshot::default() })
 }
 
 fn holding(numbers: &[u64]) -> HeldConfiguration {
