--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -9,7 +9,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
-use umberpond_distribution::{HeldConfiguration, Holders, Transfer, TransferError, VersionedConfiguration};
+use umberpond_distribution::{
+    ConfigurationHistory, Holders, Transfer, TransferError, VersionedConfiguration,
+};
 use umberpond_net::Network;
 use umberpond_telemetry::{Direction, Event, Telemetry};
 
@@ -31,7 +33,7 @@
 }
 
 pub(crate) struct ConfigurationState {
-    held: HeldConfiguration,
+    held: ConfigurationHistory,
     activation: Arc<Activation>,
     membership: ActorRef<MembershipMessage>,
     network: Arc<dyn Network>,
@@ -56,7 +58,7 @@
         arguments: Self::Arguments,
     ) -> Result<Self::State, ActorProcessingErr> {
         Ok(ConfigurationState {
-            held: HeldConfiguration::default(),
+            held: ConfigurationHistory::default(),
             activation: arguments.activation,
             membership: arguments.membership,
             network: arguments.network,
--- a/crates/distribution/src/held.rs
+++ b/crates/distribution/src/held.rs
@@ -40,7 +40,7 @@
 
 /// The configuration that a node holds. It only ever moves to a higher version.
 #[derive(Debug, Default)]
-pub struct HeldConfiguration {
+pub struct ConfigurationHistory {
     newest: Option<VersionedConfiguration>,
     earlier: VecDeque<VersionedConfiguration>,
     /// Transfers to the newest, encoded.
@@ -54,7 +54,7 @@
     encoded: Arc<[u8]>,
 }
 
-impl HeldConfiguration {
+impl ConfigurationHistory {
     /// The configuration held.
     #[must_use]
     pub const fn newest(&self) -> Option<&VersionedConfiguration> {
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -9,7 +9,7 @@
 mod readers;
 mod transfer;
 
-pub use held::{HeldConfiguration, VersionedConfiguration};
+pub use held::{ConfigurationHistory, VersionedConfiguration};
 pub use holders::Holders;
 pub use readers::{ReaderQuestion, ReaderSettings, ReaderTurn, reader_turn};
 pub use transfer::{Held, Transfer, TransferError};
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use umberpond_config::{RequestLimits, Snapshot};
 use umberpond_distribution::{
-    HeldConfiguration, Holders, ReaderQuestion, ReaderSettings, Transfer, TransferError,
+    ConfigurationHistory, Holders, ReaderQuestion, ReaderSettings, Transfer, TransferError,
     VersionedConfiguration, reader_turn,
 };
 use umberpond_model::{NodeName, Version};
@@ -19,8 +19,8 @@
     VersionedConfiguration::new(Version(number), Snapshot { limits, ..Snapshot::default() })
 }
 
-fn holding(numbers: &[u64]) -> HeldConfiguration {
-    let mut held = HeldConfiguration::default();
+fn holding(numbers: &[u64]) -> ConfigurationHistory {
+    let mut held = ConfigurationHistory::default();
     for number in numbers {
         assert!(held.offer(versioned(*number)));
     }
@@ -40,7 +40,7 @@
     let giver = holding(&[1, 2, 5]);
     let whole = giver.transfer_for(None);
     assert!(matches!(whole, Transfer::Whole { .. }));
-    assert_eq!(HeldConfiguration::default().receive(whole).unwrap(), Some(versioned(5)));
+    assert_eq!(ConfigurationHistory::default().receive(whole).unwrap(), Some(versioned(5)));
     let receiver = holding(&[2]);
     let difference = giver.transfer_for(Some(versioned(2).held()));
     assert!(matches!(difference, Transfer::Difference { .. }));
@@ -52,7 +52,7 @@
     let giver = holding(&[5]);
     assert_eq!(giver.transfer_for(Some(versioned(5).held())), Transfer::NothingNewer);
     assert_eq!(giver.transfer_for(Some(versioned(9).held())), Transfer::NothingNewer);
-    assert_eq!(HeldConfiguration::default().transfer_for(None), Transfer::NothingNewer);
+    assert_eq!(ConfigurationHistory::default().transfer_for(None), Transfer::NothingNewer);
     assert_eq!(giver.receive(Transfer::NothingNewer).unwrap(), None);
 }
 
