--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
 use umberpond_distribution::{
-    ConfigurationHistory, Holders, Transfer, TransferError, VersionedConfiguration,
+    ConfigurationHistory, NewerPeers, Transfer, TransferError, VersionedConfiguration,
 };
 use umberpond_net::Network;
 use umberpond_telemetry::{Direction, Event, Telemetry};
@@ -38,7 +38,7 @@
     membership: ActorRef<MembershipMessage>,
     network: Arc<dyn Network>,
     telemetry: Telemetry,
-    holders: Holders,
+    holders: NewerPeers,
     random: SmallRng,
     /// Whether another node is being asked, or is about to be.
     is_fetching: bool,
@@ -63,7 +63,7 @@
             membership: arguments.membership,
             network: arguments.network,
             telemetry: arguments.telemetry,
-            holders: Holders::default(),
+            holders: NewerPeers::default(),
             random: SmallRng::seed_from_u64(arguments.seed),
             is_fetching: false,
         })
--- a/crates/distribution/src/holders.rs
+++ b/crates/distribution/src/holders.rs
@@ -16,11 +16,11 @@
 
 /// The other nodes that were heard to hold something newer.
 #[derive(Debug, Default)]
-pub struct Holders {
+pub struct NewerPeers {
     newer: BTreeMap<SocketAddr, Holder>,
 }
 
-impl Holders {
+impl NewerPeers {
     /// Takes in that the node at `address` holds `version`, and this one `held`. A near node is one of the same zone.
     pub fn on_heard(&mut self, address: SocketAddr, version: Version, held: Option<Version>, is_near: bool) {
         if held < Some(version) {
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -10,6 +10,6 @@
 mod transfer;
 
 pub use held::{ConfigurationHistory, VersionedConfiguration};
-pub use holders::Holders;
+pub use holders::NewerPeers;
 pub use readers::{ReaderQuestion, ReaderSettings, ReaderTurn, reader_turn};
 pub use transfer::{Held, Transfer, TransferError};
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use umberpond_config::{RequestLimits, Snapshot};
 use umberpond_distribution::{
-    ConfigurationHistory, Holders, ReaderQuestion, ReaderSettings, Transfer, TransferError,
+    ConfigurationHistory, NewerPeers, ReaderQuestion, ReaderSettings, Transfer, TransferError,
     VersionedConfiguration, reader_turn,
 };
 use umberpond_model::{NodeName, Version};
@@ -85,7 +85,7 @@
 fn one_of_those_that_hold_the_newest_is_asked() {
     let address = |number: u8| SocketAddr::from(([10, 0, 0, number], 1));
     let mut random = SmallRng::seed_from_u64(1);
-    let mut holders = Holders::default();
+    let mut holders = NewerPeers::default();
     assert_eq!(holders.choose(&mut random), None);
     holders.on_heard(address(1), Version(3), Some(Version(3)), true);
     assert_eq!(holders.choose(&mut random), None, "nobody holds anything newer");
