--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -77,7 +77,7 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             ConfigurationMessage::Told { version, by, is_near } => {
-                state.holders.on_heard(by, version, state.held.version(), is_near);
+                state.holders.on_peer_version(by, version, state.held.version(), is_near);
                 state.fetch_if_behind(&myself);
             }
             ConfigurationMessage::Fetched { fetched, from } => state.on_fetched(&myself, fetched, from),
--- a/crates/distribution/src/holders.rs
+++ b/crates/distribution/src/holders.rs
@@ -22,7 +22,13 @@
 
 impl NewerPeers {
     /// Takes in that the node at `address` holds `version`, and this one `held`. A near node is one of the same zone.
-    pub fn on_heard(&mut self, address: SocketAddr, version: Version, held: Option<Version>, is_near: bool) {
+    pub fn on_peer_version(
+        &mut self,
+        address: SocketAddr,
+        version: Version,
+        held: Option<Version>,
+        is_near: bool,
+    ) {
         if held < Some(version) {
             self.newer.insert(address, Holder { version, is_near });
         }
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -87,10 +87,10 @@
     let mut random = SmallRng::seed_from_u64(1);
     let mut holders = NewerPeers::default();
     assert_eq!(holders.choose(&mut random), None);
-    holders.on_heard(address(1), Version(3), Some(Version(3)), true);
+    holders.on_peer_version(address(1), Version(3), Some(Version(3)), true);
     assert_eq!(holders.choose(&mut random), None, "nobody holds anything newer");
     for (number, version) in [(1, 4), (2, 5), (3, 5)] {
-        holders.on_heard(address(number), Version(version), Some(Version(3)), true);
+        holders.on_peer_version(address(number), Version(version), Some(Version(3)), true);
     }
     let asked: BTreeSet<SocketAddr> = (0..50).filter_map(|_| holders.choose(&mut random)).collect();
     assert_eq!(asked, [address(2), address(3)].into());
