--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -160,7 +160,7 @@
         }
         let version = offered.version;
         self.held.offer(offered);
-        self.holders.on_held(version);
+        self.holders.on_own_version(version);
         let _ = self.membership.send_message(MembershipMessage::Version(version));
         true
     }
--- a/crates/distribution/src/holders.rs
+++ b/crates/distribution/src/holders.rs
@@ -35,7 +35,7 @@
     }
 
     /// Takes in that this node holds `version` now.
-    pub fn on_held(&mut self, version: Version) {
+    pub fn on_own_version(&mut self, version: Version) {
         self.newer.retain(|_, holder| holder.version > version);
     }
 
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -97,7 +97,7 @@
     holders.on_no_answer(address(2));
     holders.on_no_answer(address(3));
     assert_eq!(holders.choose(&mut random), Some(address(1)), "an older one is better than none");
-    holders.on_held(Version(4));
+    holders.on_own_version(Version(4));
     assert_eq!(holders.choose(&mut random), None);
 }
 
