--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -20,7 +20,7 @@
             None => false,
         };
         if !is_answered {
-            monitor.inbound().on_no_answer();
+            monitor.inbound().on_no_response();
             sleep(FAILURE_PAUSE).await;
         }
     }
--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -123,10 +123,10 @@
             Fetched::Transfer(bytes) => match self.receive(&bytes) {
                 Ok(Some(received)) => {
                     if !self.offer(received) {
-                        self.holders.on_no_answer(from);
+                        self.holders.on_no_response(from);
                     }
                 }
-                Ok(None) => self.holders.on_no_answer(from),
+                Ok(None) => self.holders.on_no_response(from),
                 Err(error) => self.on_fetch_failed(from, error.to_string()),
             },
         }
@@ -140,7 +140,7 @@
     }
 
     fn on_fetch_failed(&mut self, from: SocketAddr, reason: String) {
-        self.holders.on_no_answer(from);
+        self.holders.on_no_response(from);
         self.telemetry.emit(Event::ConfigurationFetchFailed { peer: from, reason });
     }
 
--- a/crates/distribution/src/holders.rs
+++ b/crates/distribution/src/holders.rs
@@ -40,7 +40,7 @@
     }
 
     /// Takes in that the node at `address` gave no answer: it is left out until it is heard again.
-    pub fn on_no_answer(&mut self, address: SocketAddr) {
+    pub fn on_no_response(&mut self, address: SocketAddr) {
         self.newer.remove(&address);
     }
 
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -94,8 +94,8 @@
     }
     let asked: BTreeSet<SocketAddr> = (0..50).filter_map(|_| holders.choose(&mut random)).collect();
     assert_eq!(asked, [address(2), address(3)].into());
-    holders.on_no_answer(address(2));
-    holders.on_no_answer(address(3));
+    holders.on_no_response(address(2));
+    holders.on_no_response(address(3));
     assert_eq!(holders.choose(&mut random), Some(address(1)), "an older one is better than none");
     holders.on_own_version(Version(4));
     assert_eq!(holders.choose(&mut random), None);
