--- a/crates/daemon/src/configuration/reader.rs
+++ b/crates/daemon/src/configuration/reader.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::{Instant, sleep};
-use umberpond_distribution::{ReaderQuestion, ReaderSettings, ReaderTurn, reader_turn};
+use umberpond_distribution::{ReaderContext, ReaderSettings, ReaderTurn, reader_turn};
 use umberpond_model::NodeName;
 use umberpond_telemetry::{Event, Telemetry};
 
@@ -218,6 +218,6 @@
     let Ok(CallResult::Success(view)) = asked else { return None };
     let StoreView { own, others, silent_for, is_heard, has_joined } = view;
     let others: Vec<&NodeName> = others.iter().collect();
-    let turn = reader_turn(settings, ReaderQuestion { own: &own, others: &others, silent_for, is_heard });
+    let turn = reader_turn(settings, ReaderContext { own: &own, others: &others, silent_for, is_heard });
     turn.filter(|_| has_joined)
 }
--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -38,7 +38,7 @@
 
 /// What a node knows when it finds out whether it reads the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReaderQuestion<'a> {
+pub struct ReaderContext<'a> {
     /// The node.
     pub own: &'a NodeName,
     /// The others that could read.
@@ -66,7 +66,7 @@
 /// Whether the node reads the store, and how. No node grants this to another: two nodes that see the others differently may
 /// both read, which costs reads and nothing else.
 #[must_use]
-pub fn reader_turn(settings: &ReaderSettings, question: ReaderQuestion<'_>) -> Option<ReaderTurn> {
+pub fn reader_turn(settings: &ReaderSettings, question: ReaderContext<'_>) -> Option<ReaderTurn> {
     let own_rank = rank(question.own);
     let before = question.others.iter().filter(|other| rank(other) < own_rank).count();
     if before < settings.readers {
