--- a/crates/daemon/src/configuration/reader.rs
+++ b/crates/daemon/src/configuration/reader.rs
@@ -216,8 +216,9 @@
 ) -> Option<ReaderTurn> {
     let asked = membership.call(MembershipMessage::StoreView, Some(ACTOR_TIME)).await;
     let Ok(CallResult::Success(view)) = asked else { return None };
-    let StoreView { own, others, silent_for, is_heard, has_joined } = view;
+    let StoreView { own, others, silent_for, has_store_contact, has_joined } = view;
     let others: Vec<&NodeName> = others.iter().collect();
-    let turn = reader_turn(settings, ReaderContext { own: &own, others: &others, silent_for, is_heard });
+    let turn =
+        reader_turn(settings, ReaderContext { own: &own, others: &others, silent_for, has_store_contact });
     turn.filter(|_| has_joined)
 }
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -260,7 +260,7 @@
             own: self.membership.own().node.clone(),
             others: reachable.chain(self.membership.expected_candidates(now).cloned()).collect(),
             silent_for: now.saturating_duration_since(last_seen_at),
-            is_heard: word_at.is_some(),
+            has_store_contact: word_at.is_some(),
             has_joined: self.has_joined || now.saturating_duration_since(self.started_at) > JOIN_TIME,
         }
     }
--- a/crates/daemon/src/membership/message.rs
+++ b/crates/daemon/src/membership/message.rs
@@ -59,7 +59,7 @@
     /// Time since any node heard from the store, as far as known here, or since this process started.
     pub(crate) silent_for: Duration,
     /// Whether any node is known to have heard from the store.
-    pub(crate) is_heard: bool,
+    pub(crate) has_store_contact: bool,
     /// Whether the others are known, as far as the store can name them.
     pub(crate) has_joined: bool,
 }
--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -47,7 +47,7 @@
     /// have.
     pub silent_for: Duration,
     /// Whether any node is known to have heard from the store.
-    pub is_heard: bool,
+    pub has_store_contact: bool,
 }
 
 /// How a node reads the store.
@@ -73,7 +73,7 @@
         return Some(ReaderTurn { pause_factor: 1 });
     }
     let turn = doublings(before, settings.readers);
-    let steps_in_after = if question.is_heard {
+    let steps_in_after = if question.has_store_contact {
         let spreading = doublings(question.others.len() + 1, settings.heard_directly);
         settings.step_in_after + settings.time_per_doubling * (spreading + turn)
     } else {
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -147,7 +147,7 @@
     let mut readers = Vec::new();
     for own in nodes {
         let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
-        if reader_turn(&settings, ReaderContext { own, others: &others, silent_for, is_heard: true })
+        if reader_turn(&settings, ReaderContext { own, others: &others, silent_for, has_store_contact: true })
             .is_some()
         {
             readers.push(own);
@@ -179,7 +179,7 @@
         let silent_for = Duration::from_millis(millis);
         let turns = nodes.iter().filter(|own| {
             let others: Vec<&NodeName> = nodes.iter().filter(|node| node != own).collect();
-            let question = ReaderContext { own, others: &others, silent_for, is_heard: false };
+            let question = ReaderContext { own, others: &others, silent_for, has_store_contact: false };
             reader_turn(&ReaderSettings::default(), question).is_some()
         });
         turns.count()
@@ -196,8 +196,11 @@
         let silent_for = Duration::from_secs(10);
         let turns = nodes.iter().map(|own| {
             let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
-            reader_turn(&settings, ReaderContext { own, others: &others, silent_for, is_heard: true })
-                .unwrap()
+            reader_turn(
+                &settings,
+                ReaderContext { own, others: &others, silent_for, has_store_contact: true },
+            )
+            .unwrap()
         });
         turns.map(|turn| 1.0 / f64::from(turn.pause_factor)).sum()
     };
@@ -238,7 +241,7 @@
         assert!(
             reader_turn(
                 &ReaderSettings::default(),
-                ReaderContext { own, others: &others, silent_for, is_heard: true }
+                ReaderContext { own, others: &others, silent_for, has_store_contact: true }
             )
             .is_some()
         );
