--- a/crates/daemon/src/configuration/reader.rs
+++ b/crates/daemon/src/configuration/reader.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::{Instant, sleep};
-use umberpond_distribution::{ReaderContext, ReaderSettings, ReaderTurn, reader_turn};
+use umberpond_distribution::{ReaderContext, ReaderRole, ReaderSettings, reader_turn};
 use umberpond_model::NodeName;
 use umberpond_telemetry::{Event, Telemetry};
 
@@ -96,7 +96,7 @@
     }
 
     /// What is left of the pause after a failed call.
-    fn pause_left(&self, turn: ReaderTurn) -> Option<Duration> {
+    fn pause_left(&self, turn: ReaderRole) -> Option<Duration> {
         let (failed_at, pause) = self.failure?;
         let left = (pause * turn.pause_factor).saturating_sub(failed_at.elapsed());
         (!left.is_zero()).then_some(left)
@@ -213,7 +213,7 @@
 async fn turn_of_own(
     membership: &ActorRef<MembershipMessage>,
     settings: &ReaderSettings,
-) -> Option<ReaderTurn> {
+) -> Option<ReaderRole> {
     let asked = membership.call(MembershipMessage::StoreView, Some(ACTOR_TIME)).await;
     let Ok(CallResult::Success(view)) = asked else { return None };
     let StoreView { own, others, silent_for, has_store_contact, has_joined } = view;
--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -52,7 +52,7 @@
 
 /// How a node reads the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReaderTurn {
+pub struct ReaderRole {
     /// By how much its pauses after a failed call are longer than those of the first readers. Each doubling of the readers
     /// doubles the pauses of the newcomers, so that the calls to a store that refuses all grow with the logarithm of the
     /// nodes only.
@@ -66,11 +66,11 @@
 /// Whether the node reads the store, and how. No node grants this to another: two nodes that see the others differently may
 /// both read, which costs reads and nothing else.
 #[must_use]
-pub fn reader_turn(settings: &ReaderSettings, question: ReaderContext<'_>) -> Option<ReaderTurn> {
+pub fn reader_turn(settings: &ReaderSettings, question: ReaderContext<'_>) -> Option<ReaderRole> {
     let own_rank = rank(question.own);
     let before = question.others.iter().filter(|other| rank(other) < own_rank).count();
     if before < settings.readers {
-        return Some(ReaderTurn { pause_factor: 1 });
+        return Some(ReaderRole { pause_factor: 1 });
     }
     let turn = doublings(before, settings.readers);
     let steps_in_after = if question.has_store_contact {
@@ -80,7 +80,7 @@
         settings.first_step_in_after + settings.first_time_per_doubling * turn
     };
     let pause_factor = 2_u32.saturating_pow(turn).min(MAX_PAUSE_FACTOR);
-    (question.silent_for > steps_in_after).then_some(ReaderTurn { pause_factor })
+    (question.silent_for > steps_in_after).then_some(ReaderRole { pause_factor })
 }
 
 /// How often `from` can be doubled without exceeding `count`.
