--- a/crates/daemon/src/configuration/reader.rs
+++ b/crates/daemon/src/configuration/reader.rs
@@ -8,7 +8,7 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::{Instant, sleep};
-use umberpond_distribution::{ReaderContext, ReaderRole, ReaderSettings, reader_turn};
+use umberpond_distribution::{ReaderContext, ReaderRole, ReaderSettings, reader_role};
 use umberpond_model::NodeName;
 use umberpond_telemetry::{Event, Telemetry};
 
@@ -219,6 +219,6 @@
     let StoreView { own, others, silent_for, has_store_contact, has_joined } = view;
     let others: Vec<&NodeName> = others.iter().collect();
     let turn =
-        reader_turn(settings, ReaderContext { own: &own, others: &others, silent_for, has_store_contact });
+        reader_role(settings, ReaderContext { own: &own, others: &others, silent_for, has_store_contact });
     turn.filter(|_| has_joined)
 }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -11,5 +11,5 @@
 
 pub use held::{ConfigurationHistory, VersionedConfiguration};
 pub use holders::NewerPeers;
-pub use readers::{ReaderContext, ReaderRole, ReaderSettings, reader_turn};
+pub use readers::{ReaderContext, ReaderRole, ReaderSettings, reader_role};
 pub use transfer::{Held, Transfer, TransferError};
--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -66,7 +66,7 @@
 /// Whether the node reads the store, and how. No node grants this to another: two nodes that see the others differently may
 /// both read, which costs reads and nothing else.
 #[must_use]
-pub fn reader_turn(settings: &ReaderSettings, question: ReaderContext<'_>) -> Option<ReaderRole> {
+pub fn reader_role(settings: &ReaderSettings, question: ReaderContext<'_>) -> Option<ReaderRole> {
     let own_rank = rank(question.own);
     let before = question.others.iter().filter(|other| rank(other) < own_rank).count();
     if before < settings.readers {
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -9,7 +9,7 @@
 use umberpond_config::{RequestLimits, Snapshot};
 use umberpond_distribution::{
     ConfigurationHistory, NewerPeers, ReaderContext, ReaderSettings, Transfer, TransferError,
-    VersionedConfiguration, reader_turn,
+    VersionedConfiguration, reader_role,
 };
 use umberpond_model::{NodeName, Version};
 
@@ -147,7 +147,7 @@
     let mut readers = Vec::new();
     for own in nodes {
         let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
-        if reader_turn(&settings, ReaderContext { own, others: &others, silent_for, has_store_contact: true })
+        if reader_role(&settings, ReaderContext { own, others: &others, silent_for, has_store_contact: true })
             .is_some()
         {
             readers.push(own);
@@ -180,7 +180,7 @@
         let turns = nodes.iter().filter(|own| {
             let others: Vec<&NodeName> = nodes.iter().filter(|node| node != own).collect();
             let question = ReaderContext { own, others: &others, silent_for, has_store_contact: false };
-            reader_turn(&ReaderSettings::default(), question).is_some()
+            reader_role(&ReaderSettings::default(), question).is_some()
         });
         turns.count()
     };
@@ -196,7 +196,7 @@
         let silent_for = Duration::from_secs(10);
         let turns = nodes.iter().map(|own| {
             let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
-            reader_turn(
+            reader_role(
                 &settings,
                 ReaderContext { own, others: &others, silent_for, has_store_contact: true },
             )
@@ -239,7 +239,7 @@
     for own in &nodes {
         let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
         assert!(
-            reader_turn(
+            reader_role(
                 &ReaderSettings::default(),
                 ReaderContext { own, others: &others, silent_for, has_store_contact: true }
             )
