--- a/crates/daemon/src/configuration/reader.rs
+++ b/crates/daemon/src/configuration/reader.rs
@@ -98,7 +98,7 @@
     /// What is left of the pause after a failed call.
     fn pause_left(&self, turn: ReaderRole) -> Option<Duration> {
         let (failed_at, pause) = self.failure?;
-        let left = (pause * turn.pause_factor).saturating_sub(failed_at.elapsed());
+        let left = (pause * turn.backoff_factor).saturating_sub(failed_at.elapsed());
         (!left.is_zero()).then_some(left)
     }
 
--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -56,7 +56,7 @@
     /// By how much its pauses after a failed call are longer than those of the first readers. Each doubling of the readers
     /// doubles the pauses of the newcomers, so that the calls to a store that refuses all grow with the logarithm of the
     /// nodes only.
-    pub pause_factor: u32,
+    pub backoff_factor: u32,
 }
 
 /// Longest pauses of a node that has stepped in, in pauses of a first reader: where the store serves only a few machines, one
@@ -70,7 +70,7 @@
     let own_rank = rank(question.own);
     let before = question.others.iter().filter(|other| rank(other) < own_rank).count();
     if before < settings.readers {
-        return Some(ReaderRole { pause_factor: 1 });
+        return Some(ReaderRole { backoff_factor: 1 });
     }
     let turn = doublings(before, settings.readers);
     let steps_in_after = if question.has_store_contact {
@@ -79,8 +79,8 @@
     } else {
         settings.first_step_in_after + settings.first_time_per_doubling * turn
     };
-    let pause_factor = 2_u32.saturating_pow(turn).min(MAX_PAUSE_FACTOR);
-    (question.silent_for > steps_in_after).then_some(ReaderRole { pause_factor })
+    let backoff_factor = 2_u32.saturating_pow(turn).min(MAX_PAUSE_FACTOR);
+    (question.silent_for > steps_in_after).then_some(ReaderRole { backoff_factor })
 }
 
 /// How often `from` can be doubled without exceeding `count`.
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -202,7 +202,7 @@
             )
             .unwrap()
         });
-        turns.map(|turn| 1.0 / f64::from(turn.pause_factor)).sum()
+        turns.map(|turn| 1.0 / f64::from(turn.backoff_factor)).sum()
     };
     assert!((calls_in_a_pause(4) - 4.0).abs() < 0.01);
     assert!(calls_in_a_pause(195) < 40.0, "{}", calls_in_a_pause(195));
