--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -307,7 +307,7 @@
 
 fn event_of(note: MembershipEvent) -> Event {
     match note {
-        MembershipEvent::FoundSilent { node, silent_for } => {
+        MembershipEvent::NeighbourSilent { node, silent_for } => {
             Event::NeighbourSilent { node, silent_millis: millis(silent_for) }
         }
         MembershipEvent::NodeExcluded { node, accusers, known_for } => {
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -185,7 +185,7 @@
             member.on_accused_by_own(now);
             let accusation = member.accusation(self.own.life);
             let silent_for = now.saturating_duration_since(member.known_since);
-            self.note(MembershipEvent::FoundSilent { node, silent_for });
+            self.note(MembershipEvent::NeighbourSilent { node, silent_for });
             // Nothing of it concerns this node itself, so there is no answer.
             let _none = self.on_accusation(now, accusation);
         }
--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum MembershipEvent {
     /// This node finds a neighbour silent, and tells others.
-    FoundSilent {
+    NeighbourSilent {
         /// The neighbour.
         node: NodeName,
         /// Time since it was heard last, or else since it became known.
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -146,7 +146,7 @@
     assert!(world.nodes.keys().filter(|to| **to != 7).all(|to| world.reaches(7, *to)));
     let notes = world.take_events();
     let by_it = notes.iter().filter(|(number, _)| *number == 7).map(|(_, note)| note);
-    let accused = by_it.filter(|note| matches!(note, MembershipEvent::FoundSilent { .. }));
+    let accused = by_it.filter(|note| matches!(note, MembershipEvent::NeighbourSilent { .. }));
     assert_eq!(accused.count(), 0, "it was this node that did not run");
 }
 
