--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -20,7 +20,7 @@
             None => false,
         };
         if !is_answered {
-            monitor.inbound().on_no_response();
+            monitor.inbound().on_warmth_probe_failed();
             sleep(FAILURE_PAUSE).await;
         }
     }
