--- a/crates/daemon/src/membership/plans.rs
+++ b/crates/daemon/src/membership/plans.rs
@@ -55,7 +55,7 @@
     telemetry.emit(Event::RolloutPlanInForce {
         service: plan.service.clone(),
         target: plan.target.to_string(),
-        stage: plan.stage.word(),
+        stage: plan.stage.as_str(),
         permille,
         elapsed_millis: plan.elapsed_millis,
     });
--- a/crates/daemon/src/rollouts/task.rs
+++ b/crates/daemon/src/rollouts/task.rs
@@ -239,7 +239,7 @@
         self.task.telemetry.emit(Event::RolloutStateWritten {
             service: service.clone(),
             target: target.to_string(),
-            state: state.word(),
+            state: state.as_str(),
             revision,
             outcome,
         });
@@ -291,7 +291,7 @@
         self.task.telemetry.emit(Event::RolloutDecided {
             service: plan.service.clone(),
             target: plan.target.to_string(),
-            stage: plan.stage.word(),
+            stage: plan.stage.as_str(),
             permille: plan.stage.target_permille(),
             reason,
             elapsed_millis: plan.elapsed_millis,
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -332,7 +332,7 @@
                     request: id_text(&attempt.id),
                     fingerprint: attempt.request_key.content.to_string(),
                     instance: back_end.life.to_string(),
-                    reason: reason.word(),
+                    reason: reason.as_str(),
                     elapsed_millis: millis(permit.elapsed()),
                 });
                 AttemptResult::Unknown(reason)
@@ -378,7 +378,7 @@
         self.telemetry.emit(Event::AdmissionRefused {
             request: id_text(&attempt.id),
             service: attempt.service.clone(),
-            reason: not_run.reason.word(),
+            reason: not_run.reason.as_str(),
             running: load.running,
             waiting: load.waiting,
             slots: load.slots,
--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -101,7 +101,7 @@
             request: id_text(&self.request.id),
             route: self.request.route.name.clone(),
             service: self.request.service.clone(),
-            reason: reason.word(),
+            reason: reason.as_str(),
             outcome: reason.outcome(),
             attempts: self.attempts(),
             version: self.request.version,
@@ -115,7 +115,7 @@
         self.outbound.telemetry.emit(Event::ComeBackTold {
             request: id_text(&self.request.id),
             service: self.request.service.clone(),
-            reason: refused.reason.word(),
+            reason: refused.reason.as_str(),
             after_millis: millis(after),
             objective_left_millis: millis(refused.objective_left),
             service_millis: millis(refused.service),
@@ -127,8 +127,8 @@
             request: id_text(&self.request.id),
             service: self.request.service.clone(),
             attempts: self.attempts(),
-            origin: self.request.origin.word(),
-            stake: refusal.stake.map_or("none", RetryPriority::word),
+            origin: self.request.origin.as_str(),
+            stake: refusal.stake.map_or("none", RetryPriority::as_str),
             saved: refusal.saved,
             most_saved: refusal.most_saved,
         });
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -222,7 +222,7 @@
 
     fn refuse(&self, id: Option<&Bytes>, reason: ReplyReason, retry_after: Option<Duration>) -> Reply {
         let request = id.map_or_else(String::new, |id| id_text(id));
-        self.telemetry.emit(Event::RequestTurnedAway { request, reason: reason.word() });
+        self.telemetry.emit(Event::RequestTurnedAway { request, reason: reason.as_str() });
         self.own_reply(reason, retry_after, id)
     }
 
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -57,7 +57,7 @@
     }
 
     /// The reason as one word.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
             Self::HeadTooLarge => "head-too-large",
@@ -67,8 +67,8 @@
             Self::OverQuota => "over-quota",
             Self::NoTenant(NoTenant::NoKey) => "no-key",
             Self::NoTenant(NoTenant::UnknownKey) => "unknown-key",
-            Self::NotRun(reason) => reason.word(),
-            Self::Unknown(reason) => reason.word(),
+            Self::NotRun(reason) => reason.as_str(),
+            Self::Unknown(reason) => reason.as_str(),
         }
     }
 
@@ -97,7 +97,7 @@
         retry_after: Option<Duration>,
         marks: Option<&ResponseHeaders>,
     ) -> Self {
-        let word = reason.word();
+        let word = reason.as_str();
         let mut fields = Fields::default();
         fields.push(&b"Content-Type"[..], &b"text/plain"[..]);
         if let Some(after) = retry_after {
--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -303,7 +303,7 @@
         retry_after: Option<Duration>,
         id: Option<&Bytes>,
     ) -> Reply {
-        self.telemetry.metrics().request(reason.outcome(), RequestDetail::Reason(reason.word()));
+        self.telemetry.metrics().request(reason.outcome(), RequestDetail::Reason(reason.as_str()));
         let mut reply = Reply::own(reason, retry_after, self.header_profile.marks.as_ref());
         if let Some(id) = id {
             reply.fields.set(self.header_profile.request_id, id.clone());
--- a/crates/forwarding/src/outcome.rs
+++ b/crates/forwarding/src/outcome.rs
@@ -5,7 +5,7 @@
 
 /// Why it is known that a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode, Error)]
-#[error("{}", self.word())]
+#[error("{}", self.as_str())]
 pub enum NotRunReason {
     /// This node has no configuration yet.
     NoConfiguration,
@@ -54,7 +54,7 @@
 impl NotRunReason {
     /// The reason as one word, for logs, figures and callers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
             Self::Stopping => "stopping",
@@ -83,7 +83,7 @@
 
 /// Why it is not known whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode, Error)]
-#[error("{}", self.word())]
+#[error("{}", self.as_str())]
 pub enum UnknownReason {
     /// The connection to the node beside the back end broke.
     NodeConnectionLost,
@@ -113,7 +113,7 @@
 
     /// The reason as one word, for logs, figures and callers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NodeConnectionLost => "node-lost",
             Self::BackEndClosed => "back-end-closed",
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -29,7 +29,7 @@
 
 impl FindingSource {
     /// The source as one word, for logs.
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Here => "here",
             Self::Node => "node",
@@ -174,7 +174,7 @@
         let standing = ledger.standing_of(now(), fingerprint);
         let crashes = ledger.fingerprint_crash_count(fingerprint) as u64;
         drop(ledger);
-        let (fingerprint, source) = (fingerprint.to_string(), source.word());
+        let (fingerprint, source) = (fingerprint.to_string(), source.as_str());
         self.telemetry.emit(match standing {
             SuspicionLevel::Clear => Event::RequestCleared { fingerprint, source },
             SuspicionLevel::Suspected | SuspicionLevel::Isolated | SuspicionLevel::Paused(_) => {
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/repeats/open_runs.rs
@@ -31,7 +31,7 @@
 
 impl CallOrigin {
     /// The origin as one word, for logs.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Outside => "outside",
             Self::FirstRun => "first-run",
--- a/crates/rollouts/src/order.rs
+++ b/crates/rollouts/src/order.rs
@@ -35,7 +35,7 @@
 
     /// The state as one word, for logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Running => "running",
             Self::Complete => "complete",
--- a/crates/rollouts/src/plan.rs
+++ b/crates/rollouts/src/plan.rs
@@ -51,7 +51,7 @@
 
     /// The stage as one word, for logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::Share(_) => "share",
             Self::Reverting => "reverting",
--- a/crates/selection/src/retry_priority.rs
+++ b/crates/selection/src/retry_priority.rs
@@ -39,7 +39,7 @@
 
     /// The stake as one word, for logs.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::RunInDoubt => "run-in-doubt",
             Self::LessUrgentRequest => "less-urgent-request",
