--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -7,7 +7,7 @@
 use crate::clock::now;
 use crate::outbound::{Reply, ReplyReason};
 use crate::outcome::NotRunReason;
-use crate::repeats::RunContext;
+use crate::retries::RunContext;
 
 /// How the calls fare that the back end beside this node makes, and which of its runs may begin.
 #[derive(Debug, Default)]
--- a/crates/forwarding/src/calls/inherited.rs
+++ b/crates/forwarding/src/calls/inherited.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 
-use crate::repeats::RunContext;
+use crate::retries::RunContext;
 
 /// Rank of a request whose route, or tenant, gives it the rank `own`: a call is as urgent as its run.
 pub(crate) fn inherited_priority(own: u8, run: Option<&RunContext>) -> u8 {
--- a/crates/forwarding/src/calls/tests.rs
+++ b/crates/forwarding/src/calls/tests.rs
@@ -6,7 +6,7 @@
 use umberpond_scheduling::CallLevel;
 
 use super::{inherited_priority, inherited_timeout};
-use crate::repeats::RunContext;
+use crate::retries::RunContext;
 
 fn run(priority: u8, deadline: Instant) -> RunContext {
     RunContext { priority, level: CallLevel::FIRST, tenant: None, deadline }
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -23,7 +23,7 @@
 use crate::clock::now;
 use crate::header_profile::HeaderProfile;
 use crate::quarantine::Quarantine;
-use crate::repeats::{ActiveRuns, RetryLedger};
+use crate::retries::{ActiveRuns, RetryLedger};
 use crate::routing::TenantTable;
 use crate::suspended_time::SuspendedTime;
 use crate::upstream::{
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -19,7 +19,7 @@
 mod outcome;
 mod quarantine;
 mod quotas;
-mod repeats;
+mod retries;
 mod routing;
 mod server;
 mod suspended_time;
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -19,7 +19,7 @@
 use super::state::Outbound;
 use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response};
 use crate::outcome::{NotRunReason, UnknownReason};
-use crate::repeats::{CallOrigin, RetryPermit, TrackedCall};
+use crate::retries::{CallOrigin, RetryPermit, TrackedCall};
 
 /// Attempts after the first one that never came near a back end, after which only nodes are asked where a slot should be free. Where
 /// three nodes of a service are full, most are; what more attempts find is not worth their bytes and processor time.
--- a/crates/forwarding/src/outbound/attempts/repeating.rs
+++ b/crates/forwarding/src/outbound/attempts/repeating.rs
@@ -7,7 +7,7 @@
 
 use super::Attempts;
 use crate::message::NotRun;
-use crate::repeats::RetryKind;
+use crate::retries::RetryKind;
 
 /// Time that must be left for another attempt.
 const SHORTEST_ATTEMPT: Duration = Duration::from_millis(10);
--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -13,7 +13,7 @@
 use crate::outbound::come_back::RefusedRequest;
 use crate::outbound::reply::{Reply, ReplyReason, Served};
 use crate::outcome::UnknownReason;
-use crate::repeats::RetryRefusal;
+use crate::retries::RetryRefusal;
 
 impl Attempts<'_> {
     /// Passes the answer of a back end on.
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -13,7 +13,7 @@
 
 use crate::message::{RequestBody, RunCall};
 use crate::quotas::QuotaPermit;
-use crate::repeats::{CallOrigin, RunContext};
+use crate::retries::{CallOrigin, RunContext};
 use crate::routing::CompiledRoute;
 use crate::suspended_time::SuspendAwareInstant;
 
--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -27,7 +27,7 @@
 use crate::inbound::{Inbound, InboundAccess};
 use crate::quarantine::Quarantine;
 use crate::quotas::QuotaGate;
-use crate::repeats::RetryLedger;
+use crate::retries::RetryLedger;
 use crate::routing::{RoutingTable, SplitSequences};
 
 /// Limits of the outbound half.
