--- a/crates/daemon/src/back_end/lives.rs
+++ b/crates/daemon/src/back_end/lives.rs
@@ -5,7 +5,7 @@
 
 use umberpond_forwarding::BackEnd;
 use umberpond_membership::{BackEndRecord, BackEndState};
-use umberpond_model::BackEndLife;
+use umberpond_model::BackEndProcess;
 
 use super::announcement::{AnnouncedState, Announcement};
 
@@ -56,7 +56,7 @@
     state: BackEndState,
     cold_until: Instant,
     /// When it has said something last, or was asked and has.
-    heard_at: Instant,
+    last_seen_at: Instant,
     /// Whether it was out of reach and is well again, so that it may be another life of the same back end until its next word.
     is_reopened: bool,
 }
@@ -64,7 +64,7 @@
 /// A life that is over.
 #[derive(Debug, Clone)]
 struct EndedLife {
-    life: BackEndLife,
+    life: BackEndProcess,
     /// Count of its last announcement.
     sequence: Option<u64>,
     /// Whether it has said that it leaves or ends; otherwise another one has come in its place.
@@ -106,13 +106,14 @@
         }
         life.sequence = Some(announcement.sequence);
         life.cold_until = now + announcement.cold_for;
-        life.heard_at = now;
+        life.last_seen_at = now;
         self.on_word(announcement)
     }
 
     /// Takes in that `life` ends.
-    pub fn on_withdrawn(&mut self, life: &BackEndLife) -> Effect {
-        let Some(present) = self.present.as_mut().filter(|present| present.back_end.life.may_be(life)) else {
+    pub fn on_withdrawn(&mut self, life: &BackEndProcess) -> Effect {
+        let Some(present) = self.present.as_mut().filter(|present| present.back_end.life.may_equal(life))
+        else {
             self.end(EndedLife { life: life.clone(), sequence: None, has_left: true });
             return Effect::None;
         };
@@ -126,8 +127,9 @@
 
     /// Takes in that `back_end` has just said, asked by this process, that it is well. It does not say which life of it that is.
     pub fn on_confirmed(&mut self, now: Instant, back_end: BackEnd) -> Effect {
-        let is_present = self.present.as_ref().is_some_and(|life| life.back_end.life.may_be(&back_end.life));
-        if !is_present && self.ended.iter().any(|ended| ended.life.may_be(&back_end.life)) {
+        let is_present =
+            self.present.as_ref().is_some_and(|life| life.back_end.life.may_equal(&back_end.life));
+        if !is_present && self.ended.iter().any(|ended| ended.life.may_equal(&back_end.life)) {
             return Effect::None;
         }
         self.may_be_leaving = false;
@@ -139,13 +141,13 @@
                     return Effect::None;
                 }
                 life.state = BackEndState::Ready;
-                life.heard_at = now;
+                life.last_seen_at = now;
                 life.is_reopened = was_out_of_reach;
                 if life.sequence.is_none() {
                     life.back_end = back_end;
                 }
                 Effect::Open(BackEnd {
-                    life: BackEndLife::of(&life.back_end.life.instance),
+                    life: BackEndProcess::of(&life.back_end.life.instance),
                     ..life.back_end.clone()
                 })
             }
@@ -157,7 +159,7 @@
                     sequence: None,
                     state: BackEndState::Ready,
                     cold_until: now,
-                    heard_at: now,
+                    last_seen_at: now,
                     is_reopened: false,
                 });
                 Effect::Open(back_end)
@@ -166,16 +168,16 @@
     }
 
     /// Takes in that `life` is cold for so long, by its own word.
-    pub fn on_cold(&mut self, now: Instant, told: &BackEndLife, cold_for: Duration) {
-        if let Some(life) = self.present.as_mut().filter(|life| life.back_end.life.may_be(told)) {
+    pub fn on_cold(&mut self, now: Instant, told: &BackEndProcess, cold_for: Duration) {
+        if let Some(life) = self.present.as_mut().filter(|life| life.back_end.life.may_equal(told)) {
             life.cold_until = now + cold_for;
         }
     }
 
     /// Takes in that the back end can't be reached by its node.
-    pub fn on_unreachable(&mut self, told: &BackEndLife) -> Effect {
+    pub fn on_unreachable(&mut self, told: &BackEndProcess) -> Effect {
         match &mut self.present {
-            Some(life) if life.back_end.life.may_be(told) && life.state == BackEndState::Ready => {
+            Some(life) if life.back_end.life.may_equal(told) && life.state == BackEndState::Ready => {
                 life.state = BackEndState::Unreachable;
                 Effect::Confirm(life.back_end.clone())
             }
@@ -246,7 +248,7 @@
             sequence: Some(announcement.sequence),
             state,
             cold_until: now + announcement.cold_for,
-            heard_at: now,
+            last_seen_at: now,
             is_reopened: false,
         });
         match state {
@@ -258,11 +260,11 @@
 
     /// Whether a life that does not seem to be the present one may have come after it: it began later, or the present one is known to be out of reach, or has been silent for
     /// longer than a word of an earlier life is late.
-    fn may_be_followed_by(&self, now: Instant, life: &BackEndLife) -> bool {
+    fn may_be_followed_by(&self, now: Instant, life: &BackEndProcess) -> bool {
         let Some(present) = &self.present else { return true };
-        let is_silent = now.saturating_duration_since(present.heard_at) > LATEST_WORD;
+        let is_silent = now.saturating_duration_since(present.last_seen_at) > LATEST_WORD;
         let is_over = present.state == BackEndState::Unreachable || is_silent;
-        is_over || !life.began_before(&present.back_end.life)
+        is_over || !life.started_before(&present.back_end.life)
     }
 
     /// Whether an announcement is a late one of a life that is over. One that was taken for over and goes on speaking, though it began after the present one, is not.
@@ -270,7 +272,7 @@
         let is_meant = |ended: &&EndedLife| ended.life == announcement.life;
         let Some(ended) = self.ended.iter().find(is_meant) else { return false };
         let present = self.present.as_ref().map(|present| &present.back_end.life);
-        let began_after = present.is_some_and(|present| present.began_before(&ended.life));
+        let began_after = present.is_some_and(|present| present.started_before(&ended.life));
         let goes_on = ended.sequence.is_some_and(|known| announcement.sequence > known);
         ended.has_left || !began_after || !goes_on
     }
@@ -297,19 +299,19 @@
     fn may_say(&self, now: Instant, announcement: &Announcement) -> bool {
         let (known, told) = (&self.back_end.life, &announcement.life);
         let may_have_changed =
-            self.is_reopened && known.instance == told.instance && !told.began_before(known);
-        (known.may_be(told) || may_have_changed) && !self.has_surely_left(now, told)
+            self.is_reopened && known.instance == told.instance && !told.started_before(known);
+        (known.may_equal(told) || may_have_changed) && !self.has_surely_left(now, told)
     }
 
     /// Whether this life, of which the start was never told, has said that it leaves for so long that a word with a start is of the next one.
-    fn has_surely_left(&self, now: Instant, told: &BackEndLife) -> bool {
-        let is_silent = now.saturating_duration_since(self.heard_at) > LATEST_WORD;
+    fn has_surely_left(&self, now: Instant, told: &BackEndProcess) -> bool {
+        let is_silent = now.saturating_duration_since(self.last_seen_at) > LATEST_WORD;
         let tells_more = self.back_end.life.born.is_none() && told.born.is_some();
         self.state == BackEndState::Draining && tells_more && is_silent
     }
 
     /// Takes in when this life began, if that is told.
-    fn learn_start(&mut self, told: &BackEndLife) {
+    fn learn_start(&mut self, told: &BackEndProcess) {
         if told.born.is_some() {
             self.back_end.life = told.clone();
         }
--- a/crates/daemon/src/back_end/probe.rs
+++ b/crates/daemon/src/back_end/probe.rs
@@ -6,7 +6,7 @@
 
 use tokio::time::sleep;
 use umberpond_forwarding::BackEnd;
-use umberpond_model::{BackEndLife, ServiceName};
+use umberpond_model::{BackEndProcess, ServiceName};
 
 use super::monitor::BackEndMonitor;
 
@@ -21,11 +21,11 @@
     while asked < QUESTIONS {
         if let Some(path) = monitor.health_path(&service) {
             asked += 1;
-            let health = monitor.inbound().ask_health(address, &path).await;
+            let health = monitor.inbound().probe_health(address, &path).await;
             if let Some(health) = health
                 && let (Some(instance), Some(slots)) = (health.instance, health.slots)
             {
-                let life = BackEndLife::of(&instance);
+                let life = BackEndProcess::of(&instance);
                 monitor.confirm(BackEnd { life: life.clone(), service, release: None, address, slots });
                 monitor.on_cold(&life, health.cold_for);
                 return;
--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -14,13 +14,13 @@
 /// Asks the back end without end. A service whose back ends bear as much cold as warm is never asked.
 pub(crate) async fn follow_warmth(monitor: Arc<BackEndMonitor>) {
     loop {
-        let back_end = monitor.inbound().begin_question().await;
+        let back_end = monitor.inbound().begin_warmth_probe().await;
         let is_answered = match back_end {
             Some(back_end) => ask(&monitor, &back_end).await,
             None => false,
         };
         if !is_answered {
-            monitor.inbound().on_no_answer();
+            monitor.inbound().on_warmth_probe_failed();
             sleep(FAILURE_PAUSE).await;
         }
     }
@@ -29,7 +29,7 @@
 /// Asks `back_end`, and tells the pace what it says; `false` if it says nothing.
 async fn ask(monitor: &Arc<BackEndMonitor>, back_end: &BackEnd) -> bool {
     let Some(path) = monitor.health_path(&back_end.service) else { return false };
-    let Some(health) = monitor.inbound().ask_health(back_end.address, &path).await else { return false };
+    let Some(health) = monitor.inbound().probe_health(back_end.address, &path).await else { return false };
     if health.instance.is_some_and(|instance| instance != back_end.life.instance) {
         return false;
     }
--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -9,7 +9,9 @@
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use tokio::time::sleep;
-use umberpond_distribution::{HeldConfiguration, Holders, Transfer, TransferError, Versioned};
+use umberpond_distribution::{
+    ConfigurationHistory, NewerPeers, Transfer, TransferError, VersionedConfiguration,
+};
 use umberpond_net::Network;
 use umberpond_telemetry::{Direction, Event, Telemetry};
 
@@ -31,12 +33,12 @@
 }
 
 pub(crate) struct ConfigurationState {
-    held: HeldConfiguration,
+    held: ConfigurationHistory,
     activation: Arc<Activation>,
     membership: ActorRef<MembershipMessage>,
     network: Arc<dyn Network>,
     telemetry: Telemetry,
-    holders: Holders,
+    holders: NewerPeers,
     random: SmallRng,
     /// Whether another node is being asked, or is about to be.
     is_fetching: bool,
@@ -56,12 +58,12 @@
         arguments: Self::Arguments,
     ) -> Result<Self::State, ActorProcessingErr> {
         Ok(ConfigurationState {
-            held: HeldConfiguration::default(),
+            held: ConfigurationHistory::default(),
             activation: arguments.activation,
             membership: arguments.membership,
             network: arguments.network,
             telemetry: arguments.telemetry,
-            holders: Holders::default(),
+            holders: NewerPeers::default(),
             random: SmallRng::seed_from_u64(arguments.seed),
             is_fetching: false,
         })
@@ -75,7 +77,7 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             ConfigurationMessage::Told { version, by, is_near } => {
-                state.holders.on_heard(by, version, state.held.version(), is_near);
+                state.holders.on_peer_version(by, version, state.held.version(), is_near);
                 state.fetch_if_behind(&myself);
             }
             ConfigurationMessage::Fetched { fetched, from } => state.on_fetched(&myself, fetched, from),
@@ -86,7 +88,7 @@
             ConfigurationMessage::Sourced(sourced) => {
                 // The hash is worked out only for what is new.
                 if state.held.version() < Some(sourced.version) {
-                    let _ = state.offer(Versioned::new(sourced.version, sourced.snapshot));
+                    let _ = state.offer(VersionedConfiguration::new(sourced.version, sourced.snapshot));
                 }
             }
             ConfigurationMessage::Pull { held, reply } => {
@@ -105,7 +107,7 @@
         }
         let Some(from) = self.holders.choose(&mut self.random) else { return };
         self.is_fetching = true;
-        let held = self.held.newest().map(Versioned::held);
+        let held = self.held.newest().map(VersionedConfiguration::held);
         let network = Arc::clone(&self.network);
         let myself = myself.clone();
         tokio::spawn(async move {
@@ -121,10 +123,10 @@
             Fetched::Transfer(bytes) => match self.receive(&bytes) {
                 Ok(Some(received)) => {
                     if !self.offer(received) {
-                        self.holders.on_no_answer(from);
+                        self.holders.on_no_response(from);
                     }
                 }
-                Ok(None) => self.holders.on_no_answer(from),
+                Ok(None) => self.holders.on_no_response(from),
                 Err(error) => self.on_fetch_failed(from, error.to_string()),
             },
         }
@@ -132,13 +134,13 @@
         self.fetch_if_behind(myself);
     }
 
-    fn receive(&self, bytes: &[u8]) -> Result<Option<Versioned>, TransferError> {
+    fn receive(&self, bytes: &[u8]) -> Result<Option<VersionedConfiguration>, TransferError> {
         self.telemetry.metrics().control(Direction::In, TRANSFER, bytes.len());
         self.held.receive(Transfer::from_bytes(bytes)?)
     }
 
     fn on_fetch_failed(&mut self, from: SocketAddr, reason: String) {
-        self.holders.on_no_answer(from);
+        self.holders.on_no_response(from);
         self.telemetry.emit(Event::ConfigurationFetchFailed { peer: from, reason });
     }
 
@@ -152,13 +154,13 @@
     }
 
     /// Puts a newer configuration in force and tells the others; `false` if it could not be put in force.
-    fn offer(&mut self, offered: Versioned) -> bool {
+    fn offer(&mut self, offered: VersionedConfiguration) -> bool {
         if self.held.version() >= Some(offered.version) || !self.activation.activate(&offered) {
             return false;
         }
         let version = offered.version;
         self.held.offer(offered);
-        self.holders.on_held(version);
+        self.holders.on_own_version(version);
         let _ = self.membership.send_message(MembershipMessage::Version(version));
         true
     }
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -8,7 +8,7 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, MissedTickBehavior, interval};
 use umberpond_forwarding::{Inbound, Outbound};
-use umberpond_membership::{Datagram, MemberPhase, MemberRecord, Membership, MembershipNote, Outgoing};
+use umberpond_membership::{Datagram, MemberPhase, MemberRecord, Membership, MembershipEvent, Outgoing};
 use umberpond_net::BoxDatagrams;
 use umberpond_rollouts::ReleaseEvidence;
 use umberpond_telemetry::{Event, Telemetry};
@@ -136,10 +136,10 @@
             }
             MembershipMessage::Datagram { from, datagram } => self.on_datagram(now, from, &datagram),
             MembershipMessage::Introductions(introductions) => {
-                self.membership.on_introductions(now, introductions);
+                self.membership.on_directory_entries(now, introductions);
                 self.membership.on_tick(now)
             }
-            MembershipMessage::Joined => {
+            MembershipMessage::MergeOutcome => {
                 self.has_joined = true;
                 self.tell_sharing_nodes();
                 self.suspects.ask(&mut self.membership)
@@ -150,7 +150,7 @@
             MembershipMessage::Phase(phase) => self.membership.set_phase(now, phase),
             MembershipMessage::Version(version) => self.membership.set_version(now, version),
             MembershipMessage::StoreHeard => {
-                self.membership.on_store_heard(now);
+                self.membership.on_store_response(now);
                 Vec::new()
             }
             MembershipMessage::StoreView(reply) => {
@@ -254,20 +254,20 @@
     fn store_view(&self, now: std::time::Instant) -> StoreView {
         let running = |record: &&MemberRecord| record.phase == MemberPhase::Running;
         let reachable = self.membership.reachable().filter(running).map(|record| record.node.clone());
-        let word_at = self.membership.store_word_at();
-        let heard_at = word_at.unwrap_or(self.started_at);
+        let word_at = self.membership.last_store_contact();
+        let last_seen_at = word_at.unwrap_or(self.started_at);
         StoreView {
             own: self.membership.own().node.clone(),
-            others: reachable.chain(self.membership.expected_strangers(now).cloned()).collect(),
-            silent_for: now.saturating_duration_since(heard_at),
-            is_heard: word_at.is_some(),
+            others: reachable.chain(self.membership.expected_candidates(now).cloned()).collect(),
+            silent_for: now.saturating_duration_since(last_seen_at),
+            has_store_contact: word_at.is_some(),
             has_joined: self.has_joined || now.saturating_duration_since(self.started_at) > JOIN_TIME,
         }
     }
 
     fn tell_notes(&mut self) {
-        for note in self.membership.take_notes() {
-            if matches!(note, MembershipNote::Stalled { .. } | MembershipNote::Refuted { .. }) {
+        for note in self.membership.take_events() {
+            if matches!(note, MembershipEvent::Stalled { .. } | MembershipEvent::Refuted { .. }) {
                 // It may have missed what the others told one another meanwhile.
                 self.suspects.doubt();
             }
@@ -279,7 +279,7 @@
     /// reached from here spend their parts too. Before the store has named the others that isn't known.
     fn tell_sharing_nodes(&self) {
         if self.has_joined {
-            let others = self.membership.members().count() + self.membership.unmet_count();
+            let others = self.membership.members().count() + self.membership.candidate_count();
             self.outbound.set_sharing_nodes(others + 1);
         }
     }
@@ -305,23 +305,23 @@
     }
 }
 
-fn event_of(note: MembershipNote) -> Event {
+fn event_of(note: MembershipEvent) -> Event {
     match note {
-        MembershipNote::FoundSilent { node, silent_for } => {
+        MembershipEvent::NeighbourSilent { node, silent_for } => {
             Event::NeighbourSilent { node, silent_millis: millis(silent_for) }
         }
-        MembershipNote::LeftOut { node, accusers, known_for } => {
+        MembershipEvent::NodeExcluded { node, accusers, known_for } => {
             Event::NodeLeftOut { node, accusers: accusers as u64, known_millis: millis(known_for) }
         }
-        MembershipNote::Refuted { sequence } => Event::LeavingOutRefuted { sequence },
-        MembershipNote::ZoneCut { locality, silent } => {
+        MembershipEvent::Refuted { sequence } => Event::LeavingOutRefuted { sequence },
+        MembershipEvent::ZoneUnreachable { locality, silent } => {
             Event::ZoneCutOff { zone: locality.to_string(), silent: silent as u64 }
         }
-        MembershipNote::ZoneBack { locality } => Event::ZoneBack { zone: locality.to_string() },
-        MembershipNote::Stalled { stalled_for } => {
+        MembershipEvent::ZoneBack { locality } => Event::ZoneBack { zone: locality.to_string() },
+        MembershipEvent::Stalled { stalled_for } => {
             Event::ProcessStalled { stalled_millis: millis(stalled_for) }
         }
-        MembershipNote::RepairAsked { bucket, differs_for } => {
+        MembershipEvent::RepairRequested { bucket, differs_for } => {
             let bucket = u64::from(bucket);
             Event::MembershipRepairAsked { bucket, differs_millis: millis(differs_for) }
         }
--- a/crates/daemon/src/membership/message.rs
+++ b/crates/daemon/src/membership/message.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use ractor::{ActorRef, RpcReplyPort};
-use umberpond_membership::{BackEndRecord, Datagram, Introduction, MemberPhase, MemberView};
+use umberpond_membership::{BackEndRecord, Datagram, DirectoryEntry, MemberPhase, MemberView};
 use umberpond_model::{Evacuations, NodeName, Version};
 use umberpond_quarantine::SuspectRecord;
 use umberpond_rollouts::{ReleaseEvidence, RolloutPlan};
@@ -19,9 +19,9 @@
     /// Another node's datagram.
     Datagram { from: SocketAddr, datagram: Box<Datagram> },
     /// Nodes that the store names.
-    Introductions(Vec<Introduction>),
+    Introductions(Vec<DirectoryEntry>),
     /// The store has named all nodes that were there before this one.
-    Joined,
+    MergeOutcome,
     /// This node's word of its back end.
     BackEnd(Option<BackEndRecord>),
     /// This process goes on to another phase.
@@ -59,7 +59,7 @@
     /// Time since any node heard from the store, as far as known here, or since this process started.
     pub(crate) silent_for: Duration,
     /// Whether any node is known to have heard from the store.
-    pub(crate) is_heard: bool,
+    pub(crate) has_store_contact: bool,
     /// Whether the others are known, as far as the store can name them.
     pub(crate) has_joined: bool,
 }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -10,16 +10,16 @@
 use tokio::task::JoinSet;
 use umberpond_distribution::ReaderSettings;
 use umberpond_forwarding::{
-    Dialect, Inbound, InboundSettings, Outbound, OutboundIdentity, OutboundSettings, QuotaGate,
+    HeaderProfile, Inbound, InboundSettings, Outbound, OutboundIdentity, OutboundSettings, QuotaGate,
     ServerControl, ServerPhase, serve_inbound, serve_outbound,
 };
 use umberpond_membership::{
-    Introduction, MemberPhase, MemberRecord, MemberView, Membership, MembershipSettings,
+    DirectoryEntry, MemberPhase, MemberRecord, MemberView, Membership, MembershipSettings,
 };
 use umberpond_model::{Evacuations, Incarnation};
 use umberpond_rollouts::ReleaseEvidence;
 use umberpond_scheduling::LoadReport;
-use umberpond_selection::{DrawSettings, SelectorSettings};
+use umberpond_selection::{SamplingSettings, SelectorSettings};
 use umberpond_telemetry::{Event, Telemetry};
 
 use crate::back_end::{BackEndMonitor, CheckSettings, check_periodically, follow_warmth, probe_at_start};
@@ -57,12 +57,12 @@
     /// Where orders to evacuate zones come from; absent if there are none.
     pub evacuations: Option<Arc<dyn EvacuationStore>>,
     /// Names of the header fields.
-    pub dialect: Dialect,
+    pub header_profile: HeaderProfile,
 }
 
 impl std::fmt::Debug for Extensions {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("Extensions").field("dialect", &self.dialect).finish_non_exhaustive()
+        formatter.debug_struct("Extensions").field("dialect", &self.header_profile).finish_non_exhaustive()
     }
 }
 
@@ -89,7 +89,7 @@
         let listeners = Listeners::open(&config, &environment).await?;
         let own = own_record(&config, &environment, &listeners);
         let inbound = Arc::new(Inbound::new(
-            extensions.dialect,
+            extensions.header_profile,
             InboundSettings {
                 link_rate: config.link_rate,
                 keeps_slots_for_calls: config.keeps_slots_for_calls,
@@ -98,10 +98,10 @@
             Arc::clone(&environment.network),
             telemetry.clone(),
         ));
-        let outbound = start_outbound(&config, &environment, extensions.dialect, &inbound);
+        let outbound = start_outbound(&config, &environment, extensions.header_profile, &inbound);
         let activation =
             Arc::new(Activation::new(Arc::clone(&outbound), config.seal_key.clone(), telemetry.clone()));
-        let introduction = Introduction {
+        let introduction = DirectoryEntry {
             node: own.node.clone(),
             control: own.control,
             locality: Some(own.locality.clone()),
@@ -173,7 +173,7 @@
 fn start_outbound(
     config: &NodeConfig,
     environment: &Environment,
-    dialect: Dialect,
+    header_profile: HeaderProfile,
     inbound: &Arc<Inbound>,
 ) -> Arc<Outbound> {
     let identity = OutboundIdentity {
@@ -182,13 +182,13 @@
         caller: config.service.clone(),
         seed: environment.seed_for(SeedUse::RequestPath),
     };
-    let draw = if config.chooses_by_speed { DrawSettings::BY_SPEED } else { DrawSettings::default() };
+    let draw = if config.chooses_by_speed { SamplingSettings::BY_SPEED } else { SamplingSettings::default() };
     let selector = SelectorSettings { draw, ..SelectorSettings::default() };
     let retry_budget = config.retry_budget;
     let settings = OutboundSettings { selector, retry_budget, ..OutboundSettings::default() };
     Outbound::new(
         identity,
-        dialect,
+        header_profile,
         settings,
         Arc::clone(&environment.network),
         environment.telemetry.clone(),
@@ -201,7 +201,7 @@
     pub(crate) config: NodeConfig,
     pub(crate) environment: Environment,
     pub(crate) extensions: Extensions,
-    pub(crate) introduction: Introduction,
+    pub(crate) introduction: DirectoryEntry,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) outbound: Arc<Outbound>,
     activation: Arc<Activation>,
@@ -401,7 +401,7 @@
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
         inbound.close_expired();
-        inbound.tell_shares();
+        inbound.report_tenant_shares();
         outbound.close_expired();
     }
 }
--- a/crates/distribution/src/holders.rs
+++ b/crates/distribution/src/holders.rs
@@ -16,25 +16,31 @@
 
 /// The other nodes that were heard to hold something newer.
 #[derive(Debug, Default)]
-pub struct Holders {
+pub struct NewerPeers {
     newer: BTreeMap<SocketAddr, Holder>,
 }
 
-impl Holders {
+impl NewerPeers {
     /// Takes in that the node at `address` holds `version`, and this one `held`. A near node is one of the same zone.
-    pub fn on_heard(&mut self, address: SocketAddr, version: Version, held: Option<Version>, is_near: bool) {
+    pub fn on_peer_version(
+        &mut self,
+        address: SocketAddr,
+        version: Version,
+        held: Option<Version>,
+        is_near: bool,
+    ) {
         if held < Some(version) {
             self.newer.insert(address, Holder { version, is_near });
         }
     }
 
     /// Takes in that this node holds `version` now.
-    pub fn on_held(&mut self, version: Version) {
+    pub fn on_own_version(&mut self, version: Version) {
         self.newer.retain(|_, holder| holder.version > version);
     }
 
     /// Takes in that the node at `address` gave no answer: it is left out until it is heard again.
-    pub fn on_no_answer(&mut self, address: SocketAddr) {
+    pub fn on_no_response(&mut self, address: SocketAddr) {
         self.newer.remove(&address);
     }
 
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -9,7 +9,7 @@
 mod readers;
 mod transfer;
 
-pub use held::{HeldConfiguration, Versioned};
-pub use holders::Holders;
-pub use readers::{ReaderQuestion, ReaderSettings, ReaderTurn, reader_turn};
+pub use held::{ConfigurationHistory, VersionedConfiguration};
+pub use holders::NewerPeers;
+pub use readers::{ReaderContext, ReaderRole, ReaderSettings, reader_role};
 pub use transfer::{Held, Transfer, TransferError};
--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -38,7 +38,7 @@
 
 /// What a node knows when it finds out whether it reads the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReaderQuestion<'a> {
+pub struct ReaderContext<'a> {
     /// The node.
     pub own: &'a NodeName,
     /// The others that could read.
@@ -47,16 +47,16 @@
     /// have.
     pub silent_for: Duration,
     /// Whether any node is known to have heard from the store.
-    pub is_heard: bool,
+    pub has_store_contact: bool,
 }
 
 /// How a node reads the store.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct ReaderTurn {
+pub struct ReaderRole {
     /// By how much its pauses after a failed call are longer than those of the first readers. Each doubling of the readers
     /// doubles the pauses of the newcomers, so that the calls to a store that refuses all grow with the logarithm of the
     /// nodes only.
-    pub pause_factor: u32,
+    pub backoff_factor: u32,
 }
 
 /// Longest pauses of a node that has stepped in, in pauses of a first reader: where the store serves only a few machines, one
@@ -66,21 +66,21 @@
 /// Whether the node reads the store, and how. No node grants this to another: two nodes that see the others differently may
 /// both read, which costs reads and nothing else.
 #[must_use]
-pub fn reader_turn(settings: &ReaderSettings, question: ReaderQuestion<'_>) -> Option<ReaderTurn> {
+pub fn reader_role(settings: &ReaderSettings, question: ReaderContext<'_>) -> Option<ReaderRole> {
     let own_rank = rank(question.own);
     let before = question.others.iter().filter(|other| rank(other) < own_rank).count();
     if before < settings.readers {
-        return Some(ReaderTurn { pause_factor: 1 });
+        return Some(ReaderRole { backoff_factor: 1 });
     }
     let turn = doublings(before, settings.readers);
-    let steps_in_after = if question.is_heard {
+    let steps_in_after = if question.has_store_contact {
         let spreading = doublings(question.others.len() + 1, settings.heard_directly);
         settings.step_in_after + settings.time_per_doubling * (spreading + turn)
     } else {
         settings.first_step_in_after + settings.first_time_per_doubling * turn
     };
-    let pause_factor = 2_u32.saturating_pow(turn).min(MAX_PAUSE_FACTOR);
-    (question.silent_for > steps_in_after).then_some(ReaderTurn { pause_factor })
+    let backoff_factor = 2_u32.saturating_pow(turn).min(MAX_PAUSE_FACTOR);
+    (question.silent_for > steps_in_after).then_some(ReaderRole { backoff_factor })
 }
 
 /// How often `from` can be doubled without exceeding `count`.
--- a/crates/distribution/tests/held.rs
+++ b/crates/distribution/tests/held.rs
@@ -8,19 +8,19 @@
 use rand::rngs::SmallRng;
 use umberpond_config::{RequestLimits, Snapshot};
 use umberpond_distribution::{
-    HeldConfiguration, Holders, ReaderQuestion, ReaderSettings, Transfer, TransferError, Versioned,
-    reader_turn,
+    ConfigurationHistory, NewerPeers, ReaderContext, ReaderSettings, Transfer, TransferError,
+    VersionedConfiguration, reader_role,
 };
 use umberpond_model::{NodeName, Version};
 
 /// A configuration that differs from that of every other number.
-fn versioned(number: u64) -> Versioned {
+fn versioned(number: u64) -> VersionedConfiguration {
     let limits = RequestLimits { head_bytes: number, ..RequestLimits::default() };
-    Versioned::new(Version(number), Snapshot { limits, ..Snapshot::default() })
+    VersionedConfiguration::new(Version(number), Snapshot { limits, ..Snapshot::default() })
 }
 
-fn holding(numbers: &[u64]) -> HeldConfiguration {
-    let mut held = HeldConfiguration::default();
+fn holding(numbers: &[u64]) -> ConfigurationHistory {
+    let mut held = ConfigurationHistory::default();
     for number in numbers {
         assert!(held.offer(versioned(*number)));
     }
@@ -40,7 +40,7 @@
     let giver = holding(&[1, 2, 5]);
     let whole = giver.transfer_for(None);
     assert!(matches!(whole, Transfer::Whole { .. }));
-    assert_eq!(HeldConfiguration::default().receive(whole).unwrap(), Some(versioned(5)));
+    assert_eq!(ConfigurationHistory::default().receive(whole).unwrap(), Some(versioned(5)));
     let receiver = holding(&[2]);
     let difference = giver.transfer_for(Some(versioned(2).held()));
     assert!(matches!(difference, Transfer::Difference { .. }));
@@ -52,7 +52,7 @@
     let giver = holding(&[5]);
     assert_eq!(giver.transfer_for(Some(versioned(5).held())), Transfer::NothingNewer);
     assert_eq!(giver.transfer_for(Some(versioned(9).held())), Transfer::NothingNewer);
-    assert_eq!(HeldConfiguration::default().transfer_for(None), Transfer::NothingNewer);
+    assert_eq!(ConfigurationHistory::default().transfer_for(None), Transfer::NothingNewer);
     assert_eq!(giver.receive(Transfer::NothingNewer).unwrap(), None);
 }
 
@@ -85,19 +85,19 @@
 fn one_of_those_that_hold_the_newest_is_asked() {
     let address = |number: u8| SocketAddr::from(([10, 0, 0, number], 1));
     let mut random = SmallRng::seed_from_u64(1);
-    let mut holders = Holders::default();
+    let mut holders = NewerPeers::default();
     assert_eq!(holders.choose(&mut random), None);
-    holders.on_heard(address(1), Version(3), Some(Version(3)), true);
+    holders.on_peer_version(address(1), Version(3), Some(Version(3)), true);
     assert_eq!(holders.choose(&mut random), None, "nobody holds anything newer");
     for (number, version) in [(1, 4), (2, 5), (3, 5)] {
-        holders.on_heard(address(number), Version(version), Some(Version(3)), true);
+        holders.on_peer_version(address(number), Version(version), Some(Version(3)), true);
     }
     let asked: BTreeSet<SocketAddr> = (0..50).filter_map(|_| holders.choose(&mut random)).collect();
     assert_eq!(asked, [address(2), address(3)].into());
-    holders.on_no_answer(address(2));
-    holders.on_no_answer(address(3));
+    holders.on_no_response(address(2));
+    holders.on_no_response(address(3));
     assert_eq!(holders.choose(&mut random), Some(address(1)), "an older one is better than none");
-    holders.on_held(Version(4));
+    holders.on_own_version(Version(4));
     assert_eq!(holders.choose(&mut random), None);
 }
 
@@ -147,7 +147,7 @@
     let mut readers = Vec::new();
     for own in nodes {
         let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
-        if reader_turn(&settings, ReaderQuestion { own, others: &others, silent_for, is_heard: true })
+        if reader_role(&settings, ReaderContext { own, others: &others, silent_for, has_store_contact: true })
             .is_some()
         {
             readers.push(own);
@@ -179,8 +179,8 @@
         let silent_for = Duration::from_millis(millis);
         let turns = nodes.iter().filter(|own| {
             let others: Vec<&NodeName> = nodes.iter().filter(|node| node != own).collect();
-            let question = ReaderQuestion { own, others: &others, silent_for, is_heard: false };
-            reader_turn(&ReaderSettings::default(), question).is_some()
+            let question = ReaderContext { own, others: &others, silent_for, has_store_contact: false };
+            reader_role(&ReaderSettings::default(), question).is_some()
         });
         turns.count()
     };
@@ -196,10 +196,13 @@
         let silent_for = Duration::from_secs(10);
         let turns = nodes.iter().map(|own| {
             let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
-            reader_turn(&settings, ReaderQuestion { own, others: &others, silent_for, is_heard: true })
-                .unwrap()
+            reader_role(
+                &settings,
+                ReaderContext { own, others: &others, silent_for, has_store_contact: true },
+            )
+            .unwrap()
         });
-        turns.map(|turn| 1.0 / f64::from(turn.pause_factor)).sum()
+        turns.map(|turn| 1.0 / f64::from(turn.backoff_factor)).sum()
     };
     assert!((calls_in_a_pause(4) - 4.0).abs() < 0.01);
     assert!(calls_in_a_pause(195) < 40.0, "{}", calls_in_a_pause(195));
@@ -236,9 +239,9 @@
     for own in &nodes {
         let others: Vec<&NodeName> = nodes.iter().filter(|node| *node != own).collect();
         assert!(
-            reader_turn(
+            reader_role(
                 &ReaderSettings::default(),
-                ReaderQuestion { own, others: &others, silent_for, is_heard: true }
+                ReaderContext { own, others: &others, silent_for, has_store_contact: true }
             )
             .is_some()
         );
--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -2,17 +2,17 @@
 
 use parking_lot::Mutex;
 use umberpond_model::ServiceName;
-use umberpond_scheduling::{CallEnd, CallOutlook, RunPlan, RunRefusal};
+use umberpond_scheduling::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
 
 use crate::clock::now;
 use crate::outbound::{Reply, ReplyReason};
 use crate::outcome::NotRunReason;
-use crate::repeats::RunContext;
+use crate::retries::RunContext;
 
 /// How the calls fare that the back end beside this node makes, and which of its runs may begin.
 #[derive(Debug, Default)]
 pub(crate) struct CallGate {
-    outlook: Mutex<CallOutlook>,
+    outlook: Mutex<CallFailureEstimator>,
 }
 
 impl CallGate {
@@ -31,18 +31,18 @@
     ///
     /// # Errors
     /// Returns [`RunRefusal`] if it is better refused.
-    pub(crate) fn begin_run(&self, plan: &RunPlan<'_>) -> Result<(), RunRefusal> {
+    pub(crate) fn begin_run(&self, plan: &PendingRun<'_>) -> Result<(), RunRefusal> {
         self.outlook.lock().begin_run(now(), plan)
     }
 }
 
 /// How a call ended by the reply to it.
-const fn end_of(reply: &Reply) -> CallEnd {
+const fn end_of(reply: &Reply) -> CallOutcome {
     match reply.reason {
         Some(ReplyReason::NotRun(
             NotRunReason::Overloaded | NotRunReason::BackEndFull | NotRunReason::CallsOverloaded,
-        )) => CallEnd::NoRoom,
-        Some(ReplyReason::NotRun(_) | ReplyReason::OverQuota) => CallEnd::Refused,
-        Some(_) | None => CallEnd::Run,
+        )) => CallOutcome::NoRoom,
+        Some(ReplyReason::NotRun(_) | ReplyReason::OverQuota) => CallOutcome::Refused,
+        Some(_) | None => CallOutcome::Run,
     }
 }
--- a/crates/forwarding/src/dialect.rs
+++ b/crates/forwarding/src/header_profile.rs
@@ -4,14 +4,14 @@
 
 /// A header field that says something by being there, or by its value.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Marker {
+pub struct HeaderMatcher {
     /// Name of the field.
     pub name: &'static str,
     /// The value that says it; any if absent.
     pub value: Option<&'static str>,
 }
 
-impl Marker {
+impl HeaderMatcher {
     /// Whether `fields` say it.
     #[must_use]
     pub fn is_in(&self, fields: &Fields) -> bool {
@@ -22,7 +22,7 @@
 
 /// What every answer tells its caller beside the back end's own words.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallerMarks {
+pub struct ResponseHeaders {
     /// What is known about the request: `answered`, `rejected` or `unknown`.
     pub outcome: &'static str,
     /// Why a node answered by itself, as one word.
@@ -37,14 +37,14 @@
 
 /// Names of the header fields. Another platform has names of its own.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Dialect {
+pub struct HeaderProfile {
     /// Identity of the request, given by the caller and passed on.
     pub request_id: &'static str,
     /// What stands between the identity of a request and the rest of that of a call which its run makes; absent if calls can't be
     /// told from other requests. The calls of a repeated run count as repeats of the called service.
     pub call_separator: Option<u8>,
     /// Whether back ends repeat it in their answers, so that an answer without it is none.
-    pub is_echoed: bool,
+    pub echoes_request_id: bool,
     /// The caller's own key, under which a request must run once even if the caller repeats it; absent if callers
     /// have none.
     pub caller_key: Option<&'static str>,
@@ -61,24 +61,24 @@
     /// Life of the back end that answers.
     pub instance: &'static str,
     /// Says that the back end did not run the request.
-    pub not_executed: Marker,
+    pub not_executed: HeaderMatcher,
     /// Load of the back end as `running,waiting,slots`, and a fourth value if it tells its slowdown: how long work takes there at this moment, in hundredths of the
     /// usual time.
     pub load: &'static str,
     /// How much longer a back end is cold, in whole milliseconds, in its health answers; absent if back ends don't tell.
-    pub cold_millis: Option<&'static str>,
+    pub warmup_millis: Option<&'static str>,
     /// Proof that the body is the back end's own; absent if back ends don't sign.
     pub signature: Option<&'static str>,
     /// What every answer tells its caller; absent if callers know no such fields.
-    pub marks: Option<CallerMarks>,
+    pub marks: Option<ResponseHeaders>,
 }
 
-impl Dialect {
+impl HeaderProfile {
     /// The product's own names.
     pub const OWN: Self = Self {
         request_id: "umberpond-request-id",
         call_separator: Some(b'.'),
-        is_echoed: false,
+        echoes_request_id: false,
         caller_key: Some("idempotency-key"),
         deadline_millis: "umberpond-deadline",
         caller: "umberpond-caller",
@@ -86,11 +86,11 @@
         tenant: "umberpond-tenant",
         expected_instance: "umberpond-meant-instance",
         instance: "umberpond-instance",
-        not_executed: Marker { name: "umberpond-outcome", value: Some("rejected") },
+        not_executed: HeaderMatcher { name: "umberpond-outcome", value: Some("rejected") },
         load: "umberpond-load",
-        cold_millis: Some("umberpond-cold-millis"),
+        warmup_millis: Some("umberpond-cold-millis"),
         signature: None,
-        marks: Some(CallerMarks {
+        marks: Some(ResponseHeaders {
             outcome: "umberpond-outcome",
             reason: "umberpond-reason",
             served_by: "umberpond-served-by",
--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -14,8 +14,10 @@
 use umberpond_net::{BoxStream, FrameReader, FrameWriter, Network};
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop, decode_fields};
-use crate::body::{BodyStream, BrokenBody, PendingBody};
-use crate::message::{Answer, AnswerBody, Attempt, AttemptResult, BrokenAnswer, NotRun, RequestBody};
+use crate::body::{BodyStream, PendingBody, RequestBodyError};
+use crate::message::{
+    Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, ResponseBodyError,
+};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// Length in bytes up to which a body is sent along with the head of its request, also to another zone: asking for it would cost
@@ -75,7 +77,7 @@
         let Some(connection) = self.connection(address, deadline).await else {
             return AttemptResult::NotRun(NotRun::before_back_end(NotRunReason::NodeUnreachable));
         };
-        let body = std::mem::replace(&mut attempt.body, RequestBody::Spent);
+        let body = std::mem::replace(&mut attempt.body, RequestBody::Consumed);
         let exchange = self.exchange(address, connection, &attempt, body);
         // The other node keeps the same deadline and can say whether the request ran; its word is awaited a little.
         match timeout_at(deadline + LAST_WORD, exchange).await {
@@ -132,8 +134,8 @@
         attempt: &Attempt,
         body: RequestBody,
     ) -> AttemptResult {
-        let lost = AttemptResult::Unknown(UnknownReason::NodeLost);
-        let body = if attempt.is_far { on_demand(body) } else { body };
+        let lost = AttemptResult::Unknown(UnknownReason::NodeConnectionLost);
+        let body = if attempt.is_cross_zone { on_demand(body) } else { body };
         let (first, is_sent_whole) = match body {
             RequestBody::Whole(whole) => {
                 let open = OpenHop::of(attempt, HopBody::Whole(whole.to_vec()));
@@ -149,7 +151,7 @@
                 }
                 send_on_demand(&mut connection, &pending).await
             }
-            RequestBody::Spent => {
+            RequestBody::Consumed => {
                 return AttemptResult::NotRun(NotRun::before_back_end(NotRunReason::BodyBroken));
             }
         };
@@ -190,9 +192,9 @@
                 if is_sent_whole {
                     self.put_back(address, connection);
                 }
-                AnswerBody::Whole(whole.into())
+                ResponseBody::Whole(whole.into())
             }
-            HopBody::Parts(length) => AnswerBody::Hop(Box::new(HopAnswerBody {
+            HopBody::Parts(length) => ResponseBody::Hop(Box::new(HopResponseBody {
                 connection: Some(connection),
                 pool: Arc::clone(self),
                 address,
@@ -201,11 +203,11 @@
                 is_kept: is_sent_whole,
             })),
         };
-        AttemptResult::Answered(Answer {
+        AttemptResult::Answered(Response {
             status: answer.status,
             fields: decode_fields(answer.fields),
             body,
-            served_in: Duration::from_micros(answer.served_in),
+            back_end_time: Duration::from_micros(answer.back_end_time),
             waited: Duration::from_micros(answer.waited),
             load: answer.load,
         })
@@ -289,8 +291,8 @@
     }
 
     /// The next part of the stream. Safe to cancel.
-    async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenBody> {
-        let Some(stream) = &mut self.stream else { return Err(BrokenBody) };
+    async fn next_part(&mut self) -> Result<Option<Bytes>, RequestBodyError> {
+        let Some(stream) = &mut self.stream else { return Err(RequestBodyError) };
         stream.next().await.transpose()
     }
 
@@ -326,7 +328,7 @@
 }
 
 /// The rest of a long body that comes from another node.
-pub struct HopAnswerBody {
+pub struct HopResponseBody {
     connection: Option<HopConnection>,
     pool: Arc<HopPool>,
     address: SocketAddr,
@@ -335,22 +337,23 @@
     is_kept: bool,
 }
 
-impl std::fmt::Debug for HopAnswerBody {
+impl std::fmt::Debug for HopResponseBody {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         formatter.debug_struct("HopAnswerBody").field("address", &self.address).finish_non_exhaustive()
     }
 }
 
-impl HopAnswerBody {
+impl HopResponseBody {
     pub(crate) const fn length(&self) -> Option<u64> {
         self.length
     }
 
-    pub(crate) async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    pub(crate) async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseBodyError> {
         let Some(mut connection) = self.connection.take() else { return Ok(None) };
-        let frame =
-            timeout_at(self.deadline, connection.reader.next()).await.map_err(|_elapsed| BrokenAnswer)?;
-        let frame = frame.map_err(|_broken| BrokenAnswer)?;
+        let frame = timeout_at(self.deadline, connection.reader.next())
+            .await
+            .map_err(|_elapsed| ResponseBodyError)?;
+        let frame = frame.map_err(|_broken| ResponseBodyError)?;
         match frame.map(|(response, _size)| response) {
             Some(HopResponse::BodyPart(part)) => {
                 self.connection = Some(connection);
@@ -362,7 +365,7 @@
                 }
                 Ok(None)
             }
-            _ => Err(BrokenAnswer),
+            _ => Err(ResponseBodyError),
         }
     }
 }
--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -6,11 +6,11 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 use umberpond_http1::Fields;
-use umberpond_model::{HomeRegions, ServiceName, TenantName, TenantNumber};
+use umberpond_model::{HomeRegions, ServiceName, TenantId, TenantName};
 use umberpond_quarantine::{RequestFingerprint, RequestKey};
 use umberpond_scheduling::{CallLevel, LoadReport};
 
-use crate::message::{Answer, Attempt, NotRun, RequestBody, RunCall};
+use crate::message::{Attempt, NotRun, RequestBody, Response, RunCall};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// From the caller's node to the node beside the back end.
@@ -78,9 +78,9 @@
     objective_left: u64,
     deadline_left: u64,
     hold_left: u64,
-    patience: u64,
+    max_queue_wait: u64,
     service_time: u64,
-    is_later_try: bool,
+    is_caller_retry: bool,
     is_repeat: bool,
     call: Option<HopCall>,
     pub(crate) body: HopBody,
@@ -93,7 +93,7 @@
     pub(crate) fields: Vec<HopField>,
     pub(crate) body: HopBody,
     /// Microseconds in the back end.
-    pub(crate) served_in: u64,
+    pub(crate) back_end_time: u64,
     /// Microseconds in the queue.
     pub(crate) waited: u64,
     pub(crate) load: LoadReport,
@@ -113,7 +113,7 @@
 #[derive(Debug, Encode, Decode)]
 struct HopCall {
     level: CallLevel,
-    tenant: Option<TenantNumber>,
+    tenant: Option<TenantId>,
 }
 
 impl HopCall {
@@ -146,10 +146,10 @@
             priority: attempt.priority,
             objective_left: micros(attempt.objective_at.saturating_duration_since(now)),
             deadline_left: micros(attempt.deadline.saturating_duration_since(now)),
-            hold_left: micros(attempt.hold_until.saturating_duration_since(now)),
-            patience: micros(attempt.patience),
+            hold_left: micros(attempt.queue_deadline.saturating_duration_since(now)),
+            max_queue_wait: micros(attempt.max_queue_wait),
             service_time: micros(attempt.service_time),
-            is_later_try: attempt.is_later_try,
+            is_caller_retry: attempt.is_caller_retry,
             is_repeat: attempt.is_repeat,
             call: attempt.call.as_ref().map(HopCall::of),
             body,
@@ -174,13 +174,13 @@
             is_idempotent: self.is_idempotent,
             route: self.route,
             priority: self.priority,
-            is_far: false,
+            is_cross_zone: false,
             objective_at: now + Duration::from_micros(self.objective_left),
             deadline: now + Duration::from_micros(self.deadline_left),
-            hold_until: now + Duration::from_micros(self.hold_left),
-            patience: Duration::from_micros(self.patience),
+            queue_deadline: now + Duration::from_micros(self.hold_left),
+            max_queue_wait: Duration::from_micros(self.max_queue_wait),
             service_time: Duration::from_micros(self.service_time),
-            is_later_try: self.is_later_try,
+            is_caller_retry: self.is_caller_retry,
             is_repeat: self.is_repeat,
             call: self.call.map(HopCall::into_call),
         }
@@ -189,12 +189,12 @@
 
 impl HopAnswer {
     /// The message for `answer`, whose body travels as `body`.
-    pub(crate) fn of(answer: &Answer, body: HopBody) -> Self {
+    pub(crate) fn of(answer: &Response, body: HopBody) -> Self {
         Self {
             status: answer.status,
             fields: encode_fields(&answer.fields),
             body,
-            served_in: micros(answer.served_in),
+            back_end_time: micros(answer.back_end_time),
             waited: micros(answer.waited),
             load: answer.load,
         }
--- a/crates/forwarding/src/hop/server.rs
+++ b/crates/forwarding/src/hop/server.rs
@@ -8,9 +8,9 @@
 use umberpond_net::{BoxStream, FrameReader, FrameWriter};
 
 use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop};
-use crate::body::{BodyDemand, BodyPart, PendingBody};
+use crate::body::{BodyFlowControl, BodyPart, PendingBody};
 use crate::inbound::Inbound;
-use crate::message::{Answer, AnswerBody, AttemptResult, RequestBody};
+use crate::message::{AttemptResult, RequestBody, Response, ResponseBody};
 
 /// Parts of a body that are held before the sender has to wait.
 const BODY_PARTS: usize = 4;
@@ -53,7 +53,7 @@
         HopBody::Parts(length) => {
             let (granted, mut grants) = mpsc::unbounded_channel();
             let (sender, parts) = mpsc::channel(BODY_PARTS);
-            let demand = BodyDemand::new(granted, inbound.body_window());
+            let demand = BodyFlowControl::new(granted, inbound.body_window());
             let pending = PendingBody::from_node(length, parts, demand);
             let serving = inbound.serve(open.into_attempt(RequestBody::Pending(pending)));
             tokio::pin!(serving);
@@ -112,8 +112,8 @@
     }
 }
 
-async fn send_answer(writer: &mut Writer, mut answer: Answer) -> Result<(), umberpond_net::FrameError> {
-    if let AnswerBody::Whole(whole) = &answer.body {
+async fn send_answer(writer: &mut Writer, mut answer: Response) -> Result<(), umberpond_net::FrameError> {
+    if let ResponseBody::Whole(whole) = &answer.body {
         let message = HopAnswer::of(&answer, HopBody::Whole(whole.to_vec()));
         return writer.send(&HopResponse::Answered(Box::new(message))).await.map(drop);
     }
--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -10,10 +10,10 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep_until, timeout_at};
-use umberpond_model::{RequestRate, TenantNumber};
+use umberpond_model::{RequestRate, TenantId};
 use umberpond_scheduling::{
-    ColdPace, Decision, InvalidSlowdown, LoadReport, Refusal, Started, TenantStanding, Ticket, WorkItem,
-    WorkQueue,
+    ColdStartLimiter, Decision, Dequeued, InvalidSlowdown, LoadReport, Refusal, TenantUsage, Ticket,
+    WorkItem, WorkQueue,
 };
 
 use crate::clock::now;
@@ -31,7 +31,7 @@
 #[derive(Debug, Clone, Copy)]
 struct SlotHolder {
     /// Whose request it is; absent if of none.
-    tenant: Option<TenantNumber>,
+    tenant: Option<TenantId>,
     is_call: bool,
 }
 
@@ -54,8 +54,8 @@
     fn start_waiting(&mut self) {
         while let Some(started) = self.queue.start_next(now()) {
             match started {
-                Started::Run(ticket) => self.hand_slot(ticket),
-                Started::Expire(ticket) => {
+                Dequeued::Run(ticket) => self.hand_slot(ticket),
+                Dequeued::Expire(ticket) => {
                     self.tell(ticket, Err(Refusal::Expired));
                 }
             }
@@ -120,7 +120,7 @@
     /// Number of tenants that share the slots.
     pub(super) count: usize,
     /// Those that took most, the greatest first.
-    pub(super) greatest: Vec<TenantStanding>,
+    pub(super) greatest: Vec<TenantUsage>,
 }
 
 /// The queue before the back end.
@@ -135,7 +135,7 @@
     /// Before a back end of which nothing is known. `keeps_slots`: whether new requests leave slots to calls.
     pub(crate) fn new(keeps_slots: bool) -> Arc<Self> {
         let admission = Self::default();
-        admission.state.lock().queue.keep_slots_for_calls(keeps_slots);
+        admission.state.lock().queue.reserve_slots_for_calls(keeps_slots);
         Arc::new(admission)
     }
 
@@ -168,7 +168,7 @@
         let mut state = self.state.lock();
         state.queue.set_slots(slots);
         // It may have turned cold while it took nothing.
-        state.queue.pace().doubt();
+        state.queue.cold_start_limiter().doubt();
         state.queue.open();
         self.start_waiting(&mut state);
     }
@@ -184,7 +184,7 @@
     /// Refuses what waits.
     pub(crate) fn turn_away_waiting(&self) {
         let mut state = self.state.lock();
-        for ticket in state.queue.give_up_waiting() {
+        for ticket in state.queue.cancel_waiting() {
             state.tell(ticket, Err(Refusal::Closed));
         }
     }
@@ -192,24 +192,24 @@
     /// Forgets what was learnt of the back end: another one stands in its place, and it may be cold.
     pub(crate) fn forget_back_end(&self) {
         let mut state = self.state.lock();
-        state.queue.forget_service_time();
-        state.queue.pace().forget();
+        state.queue.reset_statistics();
+        state.queue.cold_start_limiter().forget();
     }
 
     /// Sets the rate of requests that a cold back end of the service bears.
     pub(crate) fn set_cold_rate(self: &Arc<Self>, rate: Option<RequestRate>) {
-        self.change_pace(|pace| pace.set_rate(now(), rate));
+        self.change_pace(|cold_start_limiter| cold_start_limiter.set_rate(now(), rate));
     }
 
     /// Takes in what is known of the back end's warmth, and starts what may start now.
-    pub(crate) fn change_pace(self: &Arc<Self>, change: impl FnOnce(&mut ColdPace)) {
+    pub(crate) fn change_pace(self: &Arc<Self>, change: impl FnOnce(&mut ColdStartLimiter)) {
         let mut state = self.state.lock();
-        change(state.queue.pace());
+        change(state.queue.cold_start_limiter());
         self.start_waiting(&mut state);
     }
 
     /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now.
-    pub(crate) async fn begin_question(&self) {
+    pub(crate) async fn begin_warmth_probe(&self) {
         loop {
             let notified = self.word_wanted.notified();
             if self.try_begin_question() {
@@ -221,11 +221,11 @@
 
     fn try_begin_question(&self) -> bool {
         let mut state = self.state.lock();
-        let pace = state.queue.pace();
-        if !pace.wants_word(now()) {
+        let cold_start_limiter = state.queue.cold_start_limiter();
+        if !cold_start_limiter.needs_warmth_probe(now()) {
             return false;
         }
-        pace.on_question();
+        cold_start_limiter.on_warmth_probe_sent();
         true
     }
 
@@ -235,8 +235,8 @@
     }
 
     /// Time that work which ends now and has taken `taken` would have taken at the back end's usual speed.
-    fn usual_time(&self, taken: Duration) -> Duration {
-        self.state.lock().queue.slowdown().usual_time(now(), taken)
+    fn normalized_time(&self, taken: Duration) -> Duration {
+        self.state.lock().queue.slowdown().normalized_time(now(), taken)
     }
 
     /// Whether requests wait for a slot, or were refused one a moment ago.
@@ -250,19 +250,19 @@
     }
 
     /// Takes in whether an answer came back sound.
-    pub(crate) fn record_answer(&self, is_sound: bool) {
-        self.state.lock().queue.record_answer(is_sound);
+    pub(crate) fn record_response(&self, is_sound: bool) {
+        self.state.lock().queue.record_response(is_sound);
     }
 
     /// How a tenant stands; absent if none of its requests has waited of late.
-    pub(super) fn standing(&self, tenant: TenantNumber) -> Option<TenantStanding> {
+    pub(super) fn standing(&self, tenant: TenantId) -> Option<TenantUsage> {
         self.state.lock().queue.standing(now(), tenant)
     }
 
     /// How tenants stand, the greatest `count` of them named.
     pub(super) fn standings(&self, count: usize) -> TenantStandings {
         let state = self.state.lock();
-        let greatest = state.queue.greatest_tenants(now(), count);
+        let greatest = state.queue.top_tenants(now(), count);
         TenantStandings { count: state.queue.tenant_count(), greatest }
     }
 
@@ -279,10 +279,10 @@
 
     /// Sees to it that the queue is looked at again when the pace lets a request start, and that the back end is asked whether it is warm.
     fn follow_pace(self: &Arc<Self>, state: &mut State) {
-        if state.queue.pace().wants_word(now()) {
+        if state.queue.cold_start_limiter().needs_warmth_probe(now()) {
             self.word_wanted.notify_one();
         }
-        let Some(at) = state.queue.paced_until(now()).map(Instant::from_std) else { return };
+        let Some(at) = state.queue.rate_limited_until(now()).map(Instant::from_std) else { return };
         if state.look_at.is_some_and(|planned| planned <= at && planned > Instant::now()) {
             return;
         }
@@ -314,7 +314,7 @@
 impl Waiting {
     async fn result(&mut self, item: WorkItem) -> Result<Permit, Refusal> {
         let Some(verdict) = &mut self.verdict else { return Err(Refusal::Closed) };
-        let told = timeout_at(item.hold_until.min(item.deadline).into(), verdict).await;
+        let told = timeout_at(item.queue_deadline.min(item.deadline).into(), verdict).await;
         match told {
             Ok(Ok(Ok(()))) => {
                 self.verdict = None;
@@ -325,7 +325,7 @@
                 Err(refusal)
             }
             Ok(Err(_sender_dropped)) => Err(Refusal::Closed),
-            Err(_elapsed) if item.hold_until < item.deadline => Err(Refusal::HeldTooLong),
+            Err(_elapsed) if item.queue_deadline < item.deadline => Err(Refusal::QueueTimeout),
             Err(_elapsed) => Err(Refusal::Expired),
         }
     }
@@ -363,7 +363,7 @@
 
     /// Takes in that the back end has answered, so that its time counts. What the answer tells of the back end's speed is taken in before.
     pub(crate) fn on_answered(&mut self) {
-        self.served = Some(self.admission.usual_time(self.started.elapsed()));
+        self.served = Some(self.admission.normalized_time(self.started.elapsed()));
     }
 }
 
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -9,10 +9,10 @@
 use parking_lot::Mutex;
 use tokio::sync::mpsc;
 use tokio::time::Instant;
-use umberpond_model::{BackEndLife, RegionName, ReleaseName, RequestRate, ServiceName};
+use umberpond_model::{BackEndProcess, RegionName, ReleaseName, RequestRate, ServiceName};
 use umberpond_net::Network;
 use umberpond_rollouts::{AnswerTally, RouteTally};
-use umberpond_scheduling::{ColdPace, DuplicateWindow, LoadReport};
+use umberpond_scheduling::{ColdStartLimiter, DuplicateWindow, LoadReport};
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::admission::Admission;
@@ -21,13 +21,13 @@
 use super::suspect_lane::SuspectLane;
 use crate::calls::CallGate;
 use crate::clock::now;
-use crate::dialect::Dialect;
+use crate::header_profile::HeaderProfile;
 use crate::quarantine::Quarantine;
-use crate::repeats::{OpenRuns, RetryLedger};
+use crate::retries::{ActiveRuns, RetryLedger};
 use crate::routing::TenantTable;
 use crate::suspended_time::SuspendedTime;
 use crate::upstream::{
-    Health, LoadListener, SlowdownWord, UpstreamPool, UpstreamSettings, ask_health, told_slowdown,
+    Health, LoadListener, ReportedSlowdown, UpstreamPool, UpstreamSettings, probe_health, told_slowdown,
 };
 
 /// Limits of the inbound half.
@@ -58,7 +58,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackEnd {
     /// This life of it.
-    pub life: BackEndLife,
+    pub life: BackEndProcess,
     /// Service that it serves.
     pub service: ServiceName,
     /// Version of its software; absent if it has not told it.
@@ -87,7 +87,7 @@
 
 /// The inbound half of one node.
 pub struct Inbound {
-    pub(super) dialect: Dialect,
+    pub(super) header_profile: HeaderProfile,
     settings: InboundSettings,
     network: Arc<dyn Network>,
     pub(super) telemetry: Telemetry,
@@ -95,7 +95,7 @@
     pub(super) link: BodyLink,
     pub(super) current: Mutex<Option<Current>>,
     pub(super) duplicates: Mutex<DuplicateWindow>,
-    unreachable: Mutex<Option<mpsc::UnboundedSender<BackEndLife>>>,
+    unreachable: Mutex<Option<mpsc::UnboundedSender<BackEndProcess>>>,
     /// Whether the configuration in force lets the back end's service be served where this node runs.
     pub(super) may_serve: AtomicBool,
     /// Whose requests are taken; absent before the first configuration.
@@ -105,7 +105,7 @@
     /// Whether the rollout of the service leaves the back end's release any requests.
     is_release_open: AtomicBool,
     pub(super) answers: Mutex<AnswerTally>,
-    pub(super) runs: Arc<OpenRuns>,
+    pub(super) runs: Arc<ActiveRuns>,
     pub(super) calls: CallGate,
     pub(super) suspended: Arc<SuspendedTime>,
     /// When operators were told last how tenants share the slots.
@@ -126,14 +126,14 @@
     /// The inbound half of a node whose back end is not known yet.
     #[must_use]
     pub fn new(
-        dialect: Dialect,
+        header_profile: HeaderProfile,
         settings: InboundSettings,
         network: Arc<dyn Network>,
         telemetry: Telemetry,
     ) -> Self {
         let quarantine = Arc::new(Quarantine::new(telemetry.clone()));
         Self {
-            dialect,
+            header_profile,
             settings,
             network,
             telemetry,
@@ -147,7 +147,7 @@
             is_evacuated: AtomicBool::new(false),
             is_release_open: AtomicBool::new(true),
             answers: Mutex::default(),
-            runs: Arc::new(OpenRuns::new(dialect.call_separator)),
+            runs: Arc::new(ActiveRuns::new(header_profile.call_separator)),
             calls: CallGate::default(),
             suspended: Arc::default(),
             suspect_lane: SuspectLane::new(Arc::clone(&quarantine)),
@@ -158,7 +158,7 @@
     }
 
     /// The lives of the back end that could not be reached, from now on.
-    pub fn watch_unreachable(&self) -> mpsc::UnboundedReceiver<BackEndLife> {
+    pub fn watch_unreachable(&self) -> mpsc::UnboundedReceiver<BackEndProcess> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.unreachable.lock() = Some(sender);
         receiver
@@ -168,7 +168,7 @@
     pub fn open(&self, back_end: BackEnd) {
         let mut current = self.current.lock();
         let is_same = current.as_ref().is_some_and(|held| {
-            held.back_end.life.may_be(&back_end.life) && held.back_end.address == back_end.address
+            held.back_end.life.may_equal(&back_end.life) && held.back_end.address == back_end.address
         });
         if !is_same {
             self.admission.close();
@@ -230,7 +230,7 @@
         if is_evacuated {
             self.admission.turn_away_waiting();
         } else {
-            self.admission.change_pace(ColdPace::doubt);
+            self.admission.change_pace(ColdStartLimiter::doubt);
         }
     }
 
@@ -241,24 +241,24 @@
 
     /// Takes in that the back end is cold for so long.
     pub fn on_cold(&self, cold_for: Duration) {
-        self.admission.change_pace(|pace| pace.on_cold(now(), cold_for));
+        self.admission.change_pace(|cold_start_limiter| cold_start_limiter.on_cold(now(), cold_for));
     }
 
     /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now. Whoever awaits this asks, and
-    /// tells what came of it by [`Inbound::on_warm`], [`Inbound::on_cold`] or [`Inbound::on_no_answer`].
-    pub async fn begin_question(&self) -> Option<BackEnd> {
-        self.admission.begin_question().await;
+    /// tells what came of it by [`Inbound::on_warm`], [`Inbound::on_cold`] or [`Inbound::on_warmth_probe_failed`].
+    pub async fn begin_warmth_probe(&self) -> Option<BackEnd> {
+        self.admission.begin_warmth_probe().await;
         self.current.lock().as_ref().map(|current| current.back_end.clone())
     }
 
     /// Takes in that the back end has answered the question whether it is warm: it is.
     pub fn on_warm(&self) {
-        self.admission.change_pace(ColdPace::on_warm);
+        self.admission.change_pace(ColdStartLimiter::on_warm);
     }
 
     /// Takes in that the question whether the back end is warm came to nothing.
-    pub fn on_no_answer(&self) {
-        self.admission.change_pace(ColdPace::on_no_answer);
+    pub fn on_warmth_probe_failed(&self) {
+        self.admission.change_pace(ColdStartLimiter::on_warmth_probe_failed);
     }
 
     /// Sets whether the rollout of the service leaves the back end's release any requests. Without any, what waits or runs is
@@ -293,8 +293,8 @@
     }
 
     /// Asks the back end at `address` whether it is well; absent if it does not say so.
-    pub async fn ask_health(&self, address: SocketAddr, path: &str) -> Option<Health> {
-        let health = ask_health(&*self.network, &self.dialect, address, path).await?;
+    pub async fn probe_health(&self, address: SocketAddr, path: &str) -> Option<Health> {
+        let health = probe_health(&*self.network, &self.header_profile, address, path).await?;
         if self.is_of_present(address, &health) {
             self.on_slowdown_word(health.slowdown);
         }
@@ -310,11 +310,11 @@
     }
 
     /// Takes in how long work takes at the back end, by its word.
-    fn on_slowdown_word(&self, word: SlowdownWord) {
+    fn on_slowdown_word(&self, word: ReportedSlowdown) {
         let is_valid = match word {
-            SlowdownWord::Untold => return,
-            SlowdownWord::Percent(percent) => self.admission.on_slowdown(percent).is_ok(),
-            SlowdownWord::Invalid => false,
+            ReportedSlowdown::Unreported => return,
+            ReportedSlowdown::Percent(percent) => self.admission.on_slowdown(percent).is_ok(),
+            ReportedSlowdown::Invalid => false,
         };
         self.telemetry.metrics().slowdown_word(is_valid);
     }
@@ -341,7 +341,7 @@
     }
 
     /// The runs at the back end.
-    pub(crate) const fn runs(&self) -> &Arc<OpenRuns> {
+    pub(crate) const fn runs(&self) -> &Arc<ActiveRuns> {
         &self.runs
     }
 
@@ -363,7 +363,7 @@
         self.quarantine.on_crash(report.crash, &report.requests);
     }
 
-    pub(super) fn tell_unreachable(&self, life: &BackEndLife) {
+    pub(super) fn tell_unreachable(&self, life: &BackEndProcess) {
         if let Some(watcher) = &*self.unreachable.lock() {
             // Nobody watches any more when the process leaves.
             let _ = watcher.send(life.clone());
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -7,8 +7,8 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 use umberpond_http1::Fields;
-use umberpond_quarantine::Standing;
-use umberpond_scheduling::{Refusal, RunPlan, WorkItem};
+use umberpond_quarantine::SuspicionLevel;
+use umberpond_scheduling::{PendingRun, Refusal, WorkItem};
 use umberpond_telemetry::Event;
 
 use super::admission::Permit;
@@ -16,9 +16,9 @@
 use super::crash_watch::{CrashWatch, LifeSign};
 use super::suspect_lane::SuspectPlace;
 use crate::clock::now;
-use crate::message::{Answer, AnswerBody, Attempt, AttemptResult, NotRun, RequestBody, id_text};
+use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, id_text};
 use crate::outcome::{NotRunReason, UnknownReason};
-use crate::suspended_time::PastMoment;
+use crate::suspended_time::SuspendAwareInstant;
 use crate::upstream::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED, UpstreamPool};
 
 /// Lowest status of an answer that is a failure of the back end.
@@ -80,8 +80,8 @@
     async fn wait_for_turn(&self, attempt: &mut Attempt, target: &Target) -> Result<Turn, Barred> {
         self.check_calls(attempt)?;
         self.check_room_for_calls(attempt)?;
-        let arrived = PastMoment::new(Instant::now(), &self.suspended);
-        let waits_until = attempt.hold_until.min(attempt.deadline);
+        let arrived = SuspendAwareInstant::new(Instant::now(), &self.suspended);
+        let waits_until = attempt.queue_deadline.min(attempt.deadline);
         let slots = target.back_end.slots;
         let place = self.suspect_lane.enter(&target.watch, &attempt.request_key, slots, waits_until).await?;
         self.admit_once(attempt)?;
@@ -98,7 +98,7 @@
         attempt: &mut Attempt,
         target: &Target,
         place: Option<SuspectPlace>,
-        arrived: &PastMoment,
+        arrived: &SuspendAwareInstant,
     ) -> Result<Turn, NotRun> {
         let admitted = self.admit(attempt).await;
         let permit = admitted.map_err(|refusal| {
@@ -123,7 +123,7 @@
         place: Option<SuspectPlace>,
     ) -> Result<Option<SuspectPlace>, NotRun> {
         let key = &attempt.request_key;
-        if place.is_some() && self.quarantine.standing(key) <= Standing::Alone {
+        if place.is_some() && self.quarantine.standing(key) <= SuspicionLevel::Isolated {
             return Ok(place);
         }
         self.suspect_lane.try_enter(&target.watch, key, target.back_end.slots)
@@ -135,7 +135,7 @@
             return Ok(());
         }
         let Some(ledger) = self.ledger.get() else { return Ok(()) };
-        if ledger.bears_calls(attempt.route, self.runs.repeated_runs(attempt.route) + 1) {
+        if ledger.can_afford_calls(attempt.route, self.runs.retried_runs(attempt.route) + 1) {
             return Ok(());
         }
         Err(NotRun::before_back_end(NotRunReason::RetryBudget))
@@ -144,12 +144,16 @@
     /// Refuses a run that would fail for want of its calls, while others want its slot.
     fn check_room_for_calls(&self, attempt: &Attempt) -> Result<(), NotRun> {
         let Some(ledger) = self.ledger.get() else { return Ok(()) };
-        let calls = ledger.calls_of(attempt.route);
+        let calls = ledger.expected_calls(attempt.route);
         if calls.is_empty() || !self.admission.is_slot_wanted() {
             return Ok(());
         }
-        let plan =
-            RunPlan { route: attempt.route, rank: attempt.priority, level: attempt.level(), calls: &calls };
+        let plan = PendingRun {
+            route: attempt.route,
+            rank: attempt.priority,
+            level: attempt.level(),
+            calls: &calls,
+        };
         let Err(refusal) = self.calls.begin_run(&plan) else { return Ok(()) };
         self.telemetry.emit(Event::RunWithheld {
             request: id_text(&attempt.id),
@@ -166,20 +170,20 @@
     /// slot meanwhile.
     async fn admit(&self, attempt: &mut Attempt) -> Result<Permit, Refusal> {
         let pending = match &attempt.body {
-            RequestBody::Pending(pending) if pending.crosses_link() => Some(pending.clone()),
+            RequestBody::Pending(pending) if pending.is_from_node() => Some(pending.clone()),
             _ => None,
         };
         if let Some(pending) = pending {
             let began = Instant::now();
             let turn = self.link.turn(work_item(attempt), pending.length()).await?;
-            attempt.patience = attempt.patience.saturating_sub(began.elapsed());
+            attempt.max_queue_wait = attempt.max_queue_wait.saturating_sub(began.elapsed());
             if let Some(turn) = turn {
-                pending.hold_turn(turn);
+                pending.hold_permit(turn);
             }
         }
         let item = work_item(attempt);
         let admitted = self.admission.admit(item).await;
-        if let Err(Refusal::Slowed { expected }) = admitted {
+        if let Err(Refusal::BackEndSlow { expected }) = admitted {
             self.tell_slowed(attempt, expected);
         }
         admitted
@@ -261,7 +265,7 @@
     async fn hand_over(&self, mut attempt: Attempt, target: &Target, turn: Turn) -> AttemptResult {
         let Turn { mut permit, place, waited } = turn;
         let Target { back_end, pool, watch } = target;
-        let body = std::mem::replace(&mut attempt.body, RequestBody::Spent);
+        let body = std::mem::replace(&mut attempt.body, RequestBody::Consumed);
         let fields = self.fields_for(&attempt, back_end);
         let request = ExchangeRequest {
             id: &attempt.id,
@@ -270,7 +274,7 @@
             fields: &fields,
             deadline: attempt.deadline,
         };
-        let exchanger = Exchanger { pool, dialect: &self.dialect, loads: self };
+        let exchanger = Exchanger { pool, header_profile: &self.header_profile, loads: self };
         let run = self.runs.begin(&attempt);
         let key = attempt.request_key;
         let watched = watch.begin(attempt.id.clone(), key, place.is_some());
@@ -288,12 +292,12 @@
                 }
                 fields.remove_connection_fields();
                 permit.on_answered();
-                self.admission.record_answer(true);
-                let served_in = permit.elapsed();
-                self.answers.lock().record(attempt.route, status < FIRST_FAILURE, served_in);
+                self.admission.record_response(true);
+                let back_end_time = permit.elapsed();
+                self.answers.lock().record(attempt.route, status < FIRST_FAILURE, back_end_time);
                 let body = holding(body, permit);
                 let load = self.load();
-                AttemptResult::Answered(Answer { status, fields, body, served_in, waited, load })
+                AttemptResult::Answered(Response { status, fields, body, back_end_time, waited, load })
             }
             ExchangeEnd::NotSent(reason) => {
                 run.end();
@@ -320,7 +324,7 @@
                 result
             }
             ExchangeEnd::Unknown(reason) => {
-                self.admission.record_answer(false);
+                self.admission.record_response(false);
                 drop(watched);
                 let has_crashed = reason.is_broken_connection() && self.find_crash(target).await;
                 let reason = if has_crashed { UnknownReason::BackEndCrashed } else { reason };
@@ -328,7 +332,7 @@
                     request: id_text(&attempt.id),
                     fingerprint: attempt.request_key.content.to_string(),
                     instance: back_end.life.to_string(),
-                    reason: reason.word(),
+                    reason: reason.as_str(),
                     elapsed_millis: millis(permit.elapsed()),
                 });
                 AttemptResult::Unknown(reason)
@@ -374,11 +378,11 @@
         self.telemetry.emit(Event::AdmissionRefused {
             request: id_text(&attempt.id),
             service: attempt.service.clone(),
-            reason: not_run.reason.word(),
+            reason: not_run.reason.as_str(),
             running: load.running,
             waiting: load.waiting,
             slots: load.slots,
-            patience_millis: millis(attempt.patience),
+            patience_millis: millis(attempt.max_queue_wait),
         });
         AttemptResult::NotRun(NotRun { load: Some(load), ..not_run })
     }
@@ -386,17 +390,17 @@
     fn fields_for(&self, attempt: &Attempt, back_end: &BackEnd) -> Fields {
         let mut fields = attempt.fields.clone();
         let left = attempt.deadline.saturating_duration_since(Instant::now());
-        fields.set(self.dialect.request_id, attempt.id.clone());
-        fields.set(self.dialect.deadline_millis, number(millis(left)));
-        fields.set(self.dialect.expected_instance, back_end.life.instance.clone().into_bytes());
-        fields.remove(self.dialect.tenant_key);
+        fields.set(self.header_profile.request_id, attempt.id.clone());
+        fields.set(self.header_profile.deadline_millis, number(millis(left)));
+        fields.set(self.header_profile.expected_instance, back_end.life.instance.clone().into_bytes());
+        fields.remove(self.header_profile.tenant_key);
         match &attempt.tenant {
             Some(tenant) => {
-                fields.set(self.dialect.tenant, Bytes::copy_from_slice(tenant.as_str().as_bytes()))
+                fields.set(self.header_profile.tenant, Bytes::copy_from_slice(tenant.as_str().as_bytes()))
             }
-            None => fields.remove(self.dialect.tenant),
+            None => fields.remove(self.header_profile.tenant),
         }
-        fields.set(self.dialect.caller, Bytes::copy_from_slice(attempt.caller.as_str().as_bytes()));
+        fields.set(self.header_profile.caller, Bytes::copy_from_slice(attempt.caller.as_str().as_bytes()));
         fields
     }
 }
@@ -421,10 +425,10 @@
         priority: attempt.priority,
         objective_at: attempt.objective_at.into_std(),
         deadline: attempt.deadline.into_std(),
-        hold_until: attempt.hold_until.into_std(),
-        patience: attempt.patience,
+        queue_deadline: attempt.queue_deadline.into_std(),
+        max_queue_wait: attempt.max_queue_wait,
         service: attempt.service_time,
-        is_later_try: attempt.is_later_try,
+        is_caller_retry: attempt.is_caller_retry,
         tenant: attempt.sharing_tenant(),
         call: attempt.call.map(|call| call.level),
     }
@@ -434,9 +438,9 @@
     match refusal {
         Refusal::Closed => NotRun::before_back_end(NotRunReason::Draining),
         Refusal::Expired => NotRun::before_back_end(NotRunReason::DeadlineBeforeRun),
-        Refusal::QueueFull | Refusal::HeldTooLong => NotRun::before_back_end(NotRunReason::Overloaded),
+        Refusal::QueueFull | Refusal::QueueTimeout => NotRun::before_back_end(NotRunReason::Overloaded),
         Refusal::WaitTooLong { expected }
-        | Refusal::Slowed { expected }
+        | Refusal::BackEndSlow { expected }
         | Refusal::OverShare { expected } => {
             NotRun { retry_after: Some(expected), ..NotRun::before_back_end(NotRunReason::Overloaded) }
         }
@@ -444,7 +448,7 @@
 }
 
 /// Counts what the machine was suspended since `arrived` as time that has passed for the request.
-fn count_suspension(attempt: &mut Attempt, arrived: &PastMoment) -> Result<(), NotRun> {
+fn count_suspension(attempt: &mut Attempt, arrived: &SuspendAwareInstant) -> Result<(), NotRun> {
     let suspended = arrived.suspended_since();
     if suspended.is_zero() {
         return Ok(());
@@ -457,8 +461,8 @@
 }
 
 /// The body, holding the slot as long as it still comes from the back end.
-fn holding(mut body: AnswerBody, permit: Permit) -> AnswerBody {
-    if let AnswerBody::Upstream(upstream) = &mut body {
+fn holding(mut body: ResponseBody, permit: Permit) -> ResponseBody {
+    if let ResponseBody::Upstream(upstream) = &mut body {
         upstream.hold(permit);
     }
     body
--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -3,8 +3,8 @@
 use std::time::Duration;
 
 use tokio::time::Instant;
-use umberpond_model::TenantNumber;
-use umberpond_scheduling::{Refusal, TenantStanding};
+use umberpond_model::TenantId;
+use umberpond_scheduling::{Refusal, TenantUsage};
 use umberpond_telemetry::Event;
 
 use super::back_end::{Inbound, millis};
@@ -17,7 +17,7 @@
 
 impl Inbound {
     /// Tells operators how tenants share the slots, if any had to wait of late.
-    pub fn tell_shares(&self) {
+    pub fn report_tenant_shares(&self) {
         let standings = self.admission.standings(GREATEST_TENANTS);
         let uses: Vec<u16> = standings.greatest.iter().map(|standing| standing.use_permille).collect();
         self.telemetry.metrics().set_tenant_uses(standings.count, &uses);
@@ -34,9 +34,11 @@
     pub(super) fn tell_over_share(&self, attempt: &Attempt, refusal: Refusal) {
         let Some(tenant) = &attempt.tenant else { return };
         let Some(reason) = over_share_reason(refusal) else { return };
-        let standing = self.admission.standing(TenantNumber::of(tenant));
+        let standing = self.admission.standing(TenantId::of(tenant));
         let is_displaced = matches!(refusal, Refusal::OverShare { .. });
-        let Some(standing) = standing.filter(|standing| is_displaced || standing.is_above) else { return };
+        let Some(standing) = standing.filter(|standing| is_displaced || standing.is_over_share) else {
+            return;
+        };
         self.telemetry.metrics().over_share(reason);
         self.telemetry.emit(Event::RequestOverShare {
             request: id_text(&attempt.id),
@@ -58,17 +60,17 @@
     }
 
     /// The tenants with their use in thousandths, by name where the configuration in force has them.
-    fn describe(&self, standings: &[TenantStanding]) -> String {
+    fn describe(&self, standings: &[TenantUsage]) -> String {
         let described = standings
             .iter()
             .map(|standing| format!("{}={}", self.tenant_name(standing.tenant), standing.use_permille));
         described.collect::<Vec<String>>().join(",")
     }
 
-    fn tenant_name(&self, number: TenantNumber) -> String {
+    fn tenant_name(&self, number: TenantId) -> String {
         let access = self.access.load();
         let tenants = access.iter().flat_map(|access| access.tenants.iter());
-        let mut named = tenants.filter(|tenant| TenantNumber::of(&tenant.name) == number);
+        let mut named = tenants.filter(|tenant| TenantId::of(&tenant.name) == number);
         named.next().map_or_else(|| number.0.to_string(), |tenant| tenant.name.to_string())
     }
 }
@@ -79,6 +81,6 @@
         Refusal::OverShare { .. } => Some("displaced"),
         Refusal::WaitTooLong { .. } => Some("wait-too-long"),
         Refusal::QueueFull => Some("queue-full"),
-        Refusal::Closed | Refusal::HeldTooLong | Refusal::Expired | Refusal::Slowed { .. } => None,
+        Refusal::Closed | Refusal::QueueTimeout | Refusal::Expired | Refusal::BackEndSlow { .. } => None,
     }
 }
--- a/crates/forwarding/src/lib.rs
+++ b/crates/forwarding/src/lib.rs
@@ -11,7 +11,7 @@
 mod body;
 mod calls;
 mod clock;
-mod dialect;
+mod header_profile;
 mod hop;
 mod inbound;
 mod message;
@@ -19,13 +19,13 @@
 mod outcome;
 mod quarantine;
 mod quotas;
-mod repeats;
+mod retries;
 mod routing;
 mod server;
 mod suspended_time;
 mod upstream;
 
-pub use dialect::{CallerMarks, Dialect, Marker};
+pub use header_profile::{HeaderMatcher, HeaderProfile, ResponseHeaders};
 pub use inbound::{BackEnd, Inbound, InboundSettings};
 pub use outbound::{Outbound, OutboundIdentity, OutboundSettings, StaleVersion};
 pub use outcome::{NotRunReason, UnknownReason};
@@ -36,4 +36,4 @@
     WeightedService,
 };
 pub use server::{ServerControl, ServerPhase, serve_inbound, serve_outbound};
-pub use upstream::{Health, SlowdownWord};
+pub use upstream::{Health, ReportedSlowdown};
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use tokio::time::Instant;
 use umberpond_http1::Fields;
-use umberpond_model::{HomeRegions, ServiceName, TenantName, TenantNumber};
+use umberpond_model::{HomeRegions, ServiceName, TenantId, TenantName};
 use umberpond_quarantine::RequestKey;
 use umberpond_scheduling::{CallLevel, LoadReport};
 
 use crate::body::PendingBody;
-use crate::hop::HopAnswerBody;
+use crate::hop::HopResponseBody;
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::upstream::UpstreamBody;
 
@@ -22,7 +22,7 @@
     /// A body that is still arriving; it can be sent once, by the first attempt that begins to.
     Pending(PendingBody),
     /// A body that was taken away.
-    Spent,
+    Consumed,
 }
 
 impl RequestBody {
@@ -32,7 +32,7 @@
         match self {
             Self::Whole(whole) => Some(Self::Whole(whole.clone())),
             Self::Pending(pending) if !pending.is_begun() => Some(Self::Pending(pending.clone())),
-            Self::Pending(_) | Self::Spent => None,
+            Self::Pending(_) | Self::Consumed => None,
         }
     }
 
@@ -41,7 +41,7 @@
         match self {
             Self::Whole(whole) => Some(whole.len() as u64),
             Self::Pending(pending) => pending.length(),
-            Self::Spent => None,
+            Self::Consumed => None,
         }
     }
 
@@ -50,7 +50,7 @@
         match self {
             Self::Whole(whole) => whole,
             Self::Pending(pending) => pending.beginning(),
-            Self::Spent => &[],
+            Self::Consumed => &[],
         }
     }
 
@@ -60,7 +60,7 @@
         match self {
             Self::Whole(_) => false,
             Self::Pending(pending) => pending.is_begun(),
-            Self::Spent => true,
+            Self::Consumed => true,
         }
     }
 }
@@ -97,19 +97,19 @@
     /// Rank among the requests for the back end.
     pub priority: u8,
     /// Whether the node beside the back end is in another zone than the caller's.
-    pub is_far: bool,
+    pub is_cross_zone: bool,
     /// End of the time within which an answer is of full use.
     pub objective_at: Instant,
     /// End of the time within which an answer is of any use.
     pub deadline: Instant,
     /// When the request is given up if it still waits for a slot.
-    pub hold_until: Instant,
+    pub queue_deadline: Instant,
     /// Longest time that the request may be expected to wait for a slot.
-    pub patience: Duration,
+    pub max_queue_wait: Duration,
     /// Time that the back end is expected to take.
     pub service_time: Duration,
     /// Whether the caller has sent the request before, under another identity, and was refused.
-    pub is_later_try: bool,
+    pub is_caller_retry: bool,
     /// Whether it is sent again after it had reached a back end, or is a call of a run that was.
     pub is_repeat: bool,
     /// What waits for it, if it is a call of a run at the back end beside the caller's node.
@@ -123,14 +123,14 @@
     pub level: CallLevel,
     /// Tenant of the run, in whose share of the slots the call is counted if it names none itself. It is neither told to the back end nor
     /// charged to the tenant's quota, of which the run has taken its part.
-    pub tenant: Option<TenantNumber>,
+    pub tenant: Option<TenantId>,
 }
 
 impl Attempt {
     /// Tenant in whose share of the slots it is counted.
     #[must_use]
-    pub fn sharing_tenant(&self) -> Option<TenantNumber> {
-        let own = self.tenant.as_ref().map(TenantNumber::of);
+    pub fn sharing_tenant(&self) -> Option<TenantId> {
+        let own = self.tenant.as_ref().map(TenantId::of);
         own.or_else(|| self.call.and_then(|call| call.tenant))
     }
 
@@ -145,14 +145,14 @@
 fn level_of(id: &[u8]) -> CallLevel {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(id).as_bytes()[..8]);
-    CallLevel::of_hash(u64::from_le_bytes(first))
+    CallLevel::from_hash(u64::from_le_bytes(first))
 }
 
 /// What is known about an attempt at its end.
 #[derive(Debug)]
 pub enum AttemptResult {
     /// The back end answered.
-    Answered(Answer),
+    Answered(Response),
     /// It is known that the request did not run, and that it never will.
     NotRun(NotRun),
     /// The request may have run.
@@ -182,15 +182,15 @@
 
 /// The answer of a back end.
 #[derive(Debug)]
-pub struct Answer {
+pub struct Response {
     /// Status code.
     pub status: u16,
     /// End-to-end header fields.
     pub fields: Fields,
     /// Body.
-    pub body: AnswerBody,
+    pub body: ResponseBody,
     /// Time between handing the request to the back end and its answer.
-    pub served_in: Duration,
+    pub back_end_time: Duration,
     /// Time the request waited for a slot.
     pub waited: Duration,
     /// Load of the back end.
@@ -199,20 +199,20 @@
 
 /// Body of an answer.
 #[derive(Debug)]
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// The whole body.
     Whole(Bytes),
     /// A long body that comes straight from the back end.
     Upstream(Box<UpstreamBody>),
     /// A long body that comes from another node.
-    Hop(Box<HopAnswerBody>),
+    Hop(Box<HopResponseBody>),
 }
 
 /// An answer's body that broke off.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct BrokenAnswer;
+pub struct ResponseBodyError;
 
-impl AnswerBody {
+impl ResponseBody {
     /// Length, if known.
     #[must_use]
     pub fn length(&self) -> Option<u64> {
@@ -226,8 +226,8 @@
     /// The next part; `None` at the proper end.
     ///
     /// # Errors
-    /// Returns [`BrokenAnswer`] when the body breaks off.
-    pub async fn next_part(&mut self) -> Result<Option<Bytes>, BrokenAnswer> {
+    /// Returns [`ResponseBodyError`] when the body breaks off.
+    pub async fn next_part(&mut self) -> Result<Option<Bytes>, ResponseBodyError> {
         match self {
             Self::Whole(whole) if whole.is_empty() => Ok(None),
             Self::Whole(whole) => Ok(Some(std::mem::take(whole))),
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -17,9 +17,9 @@
 use super::prepared::PreparedRequest;
 use super::reply::{Reply, ReplyReason};
 use super::state::Outbound;
-use crate::message::{Answer, Attempt, AttemptResult, NotRun, RequestBody};
+use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response};
 use crate::outcome::{NotRunReason, UnknownReason};
-use crate::repeats::{CallOrigin, FollowedCall, RetryGrant};
+use crate::retries::{CallOrigin, RetryPermit, TrackedCall};
 
 /// Attempts after the first one that never came near a back end, after which only nodes are asked where a slot should be free. Where
 /// three nodes of a service are full, most are; what more attempts find is not worth their bytes and processor time.
@@ -49,9 +49,9 @@
     /// Why an earlier attempt may have run, if one may.
     may_have_run: Option<UnknownReason>,
     /// The request among the calls of the run that has made it, if one has.
-    followed: Option<FollowedCall>,
+    followed: Option<TrackedCall>,
     /// A repeat that is paid for and has not arrived yet.
-    grant: Option<RetryGrant>,
+    grant: Option<RetryPermit>,
     /// Whether a back end has ended while it ran the request.
     has_crashed: bool,
     /// The failure that a back end answered, for the case that nothing better comes.
@@ -87,7 +87,7 @@
     /// Sends attempts until the request is answered or given up, at the latest when `cut_off` is reached.
     pub(super) async fn run(mut self, cut_off: impl Future<Output = ()>) -> Reply {
         self.outbound.ledger.count_request(&self.request.service, self.request.origin);
-        self.group = self.outbound.selector.lock().deal_release(&self.request.service);
+        self.group = self.outbound.selector.lock().assign_release(&self.request.service);
         let answered = tokio::select! {
             biased;
             reply = self.send_all() => Some(reply),
@@ -102,7 +102,7 @@
     }
 
     async fn send_all(&mut self) -> Reply {
-        if self.request.origin == CallOrigin::RepeatedRun && !self.take_repeated_call() {
+        if self.request.origin == CallOrigin::RetriedRun && !self.take_repeated_call() {
             return self.not_run(NotRun::before_back_end(NotRunReason::RetryBudget));
         }
         let mut last = NotRun::before_back_end(self.nowhere());
@@ -111,7 +111,7 @@
                 return self.not_run(not_run);
             }
             let Some(choice) = self.choose_in_turn() else { return self.not_run(last) };
-            if self.free_attempts > BLIND_ATTEMPTS && !choice.has_room {
+            if self.free_attempts > BLIND_ATTEMPTS && !choice.has_free_slot {
                 return self.not_run(last);
             }
             let Some(body) = self.request.body.for_attempt() else { return self.not_run(last) };
@@ -161,14 +161,14 @@
             is_idempotent: request.route.is_idempotent,
             route: request.route.number,
             priority: request.priority,
-            is_far: !choice.is_near,
+            is_cross_zone: !choice.is_near,
             objective_at: request.objective_at(),
             deadline: request.deadline(),
-            patience: request.patience(choice.service),
-            hold_until: request.hold_until(),
+            max_queue_wait: request.max_queue_wait(choice.service),
+            queue_deadline: request.queue_deadline(),
             service_time: choice.service,
-            is_later_try: request.is_later_try,
-            is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RepeatedRun,
+            is_caller_retry: request.is_caller_retry,
+            is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RetriedRun,
             call: request.call(),
         }
     }
@@ -207,10 +207,10 @@
         self.grant = None;
     }
 
-    fn on_answer(&mut self, choice: &Choice, answer: Answer) -> Next {
+    fn on_answer(&mut self, choice: &Choice, answer: Response) -> Next {
         let is_worth_repeating = matches!(answer.status, 500 | 502 | 503) && self.request.route.is_idempotent;
         if is_worth_repeating && self.may_reach_another() {
-            self.may_have_run = Some(UnknownReason::AnswerSpoiled);
+            self.may_have_run = Some(UnknownReason::InvalidResponse);
             self.tell_retry(choice, "failed-answer");
             self.failure = FailedAnswer::keep(&choice.node, answer);
             return Next::TryAgain;
--- a/crates/forwarding/src/outbound/attempts/observing.rs
+++ b/crates/forwarding/src/outbound/attempts/observing.rs
@@ -4,7 +4,7 @@
 
 use tokio::time::Instant;
 use umberpond_model::NodeName;
-use umberpond_selection::{AnswerTimes, Choice, Observation};
+use umberpond_selection::{Choice, Observation, ResponseTimes};
 
 use super::Attempts;
 use crate::message::{AttemptResult, NotRun};
@@ -18,7 +18,7 @@
             AttemptResult::Answered(answer) => Observation::Answered(answer.load),
             AttemptResult::NotRun(not_run) => not_run_observation(not_run),
             AttemptResult::Unknown(UnknownReason::BodyBroken) => Observation::Abandoned,
-            AttemptResult::Unknown(UnknownReason::NodeLost | UnknownReason::BackEndCrashed) => {
+            AttemptResult::Unknown(UnknownReason::NodeConnectionLost | UnknownReason::BackEndCrashed) => {
                 Observation::Unreachable
             }
             AttemptResult::Unknown(_) => Observation::Failed,
@@ -31,10 +31,10 @@
         let now = Instant::now().into_std();
         selector.on_ended(now, service, &choice.node, observation);
         if let AttemptResult::Answered(answer) = result {
-            let overhead = elapsed.saturating_sub(answer.served_in).saturating_sub(answer.waited);
+            let overhead = elapsed.saturating_sub(answer.back_end_time).saturating_sub(answer.waited);
             let route = &self.request.route.name;
-            let times = AnswerTimes { served: answer.served_in, overhead };
-            selector.on_times(now, service, route, &choice.node, times);
+            let times = ResponseTimes { served: answer.back_end_time, overhead };
+            selector.on_response_times(now, service, route, &choice.node, times);
         }
     }
 }
--- a/crates/forwarding/src/outbound/attempts/repeating.rs
+++ b/crates/forwarding/src/outbound/attempts/repeating.rs
@@ -3,11 +3,11 @@
 use std::time::Duration;
 
 use tokio::time::{Instant, sleep};
-use umberpond_selection::RetryOwner;
+use umberpond_selection::RetryInitiator;
 
 use super::Attempts;
 use crate::message::NotRun;
-use crate::repeats::RepeatKind;
+use crate::retries::RetryKind;
 
 /// Time that must be left for another attempt.
 const SHORTEST_ATTEMPT: Duration = Duration::from_millis(10);
@@ -40,8 +40,8 @@
     /// Takes a repeat out of the budget of the service, by what is at stake with it.
     fn take_retry(&mut self) -> bool {
         let owner = match &self.followed {
-            Some(followed) => RetryOwner::Run(followed.others()),
-            None => RetryOwner::Caller { rank: self.request.priority },
+            Some(followed) => RetryInitiator::Run(followed.others()),
+            None => RetryInitiator::Caller { rank: self.request.priority },
         };
         match self.outbound.ledger.take_for(&self.request.service, owner) {
             Ok(grant) => self.grant = Some(grant),
@@ -56,7 +56,7 @@
     /// Takes the first arrival of a call of a repeated run out of the budget of the service. The run holds a slot already, so it
     /// goes before all else.
     pub(super) fn take_repeated_call(&mut self) -> bool {
-        self.grant = self.outbound.ledger.take(&self.request.service, RepeatKind::RepeatedCall);
+        self.grant = self.outbound.ledger.take(&self.request.service, RetryKind::RetriedRunCall);
         if self.grant.is_none() {
             self.tell_withheld(&self.outbound.ledger.refusal(&self.request.service));
         }
@@ -69,7 +69,7 @@
 
     /// Whether there is time for another attempt after `pause`.
     fn has_time_after(&self, pause: Duration) -> bool {
-        let end = self.request.deadline().min(self.request.hold_until());
+        let end = self.request.deadline().min(self.request.queue_deadline());
         end.saturating_duration_since(Instant::now()) >= SHORTEST_ATTEMPT + pause
     }
 }
--- a/crates/forwarding/src/outbound/attempts/replying.rs
+++ b/crates/forwarding/src/outbound/attempts/replying.rs
@@ -4,20 +4,20 @@
 
 use umberpond_model::NodeName;
 use umberpond_scheduling::LoadReport;
-use umberpond_selection::{Choice, RetryStake};
+use umberpond_selection::{Choice, RetryPriority};
 use umberpond_telemetry::{Event, RequestDetail};
 
 use super::Attempts;
 use crate::inbound::millis;
-use crate::message::{Answer, NotRun, id_text};
+use crate::message::{NotRun, Response, id_text};
 use crate::outbound::come_back::RefusedRequest;
 use crate::outbound::reply::{Reply, ReplyReason, Served};
 use crate::outcome::UnknownReason;
-use crate::repeats::RetryRefusal;
+use crate::retries::RetryRefusal;
 
 impl Attempts<'_> {
     /// Passes the answer of a back end on.
-    pub(super) fn answer(&self, node: &NodeName, answer: Answer) -> Reply {
+    pub(super) fn answer(&self, node: &NodeName, answer: Response) -> Reply {
         let metrics = self.outbound.telemetry.metrics();
         metrics.request("answered", RequestDetail::Status(answer.status));
         metrics.request_time(self.request.arrived.elapsed().as_secs_f64());
@@ -31,14 +31,14 @@
             version: self.request.version,
             total_millis: millis(self.request.arrived.elapsed()),
             waited_millis: millis(answer.waited),
-            served_millis: millis(answer.served_in),
+            served_millis: millis(answer.back_end_time),
         });
         let served = Served {
             node,
             locality: self.outbound.locality_of(&self.request.service, node),
             version: self.request.version,
         };
-        Reply::of_answer(answer, self.outbound.dialect.marks.as_ref(), &served)
+        Reply::of_answer(answer, self.outbound.header_profile.marks.as_ref(), &served)
     }
 
     fn attempts(&self) -> u32 {
@@ -75,11 +75,11 @@
     fn come_back(&self, not_run: NotRun) -> Duration {
         let request = &self.request;
         let passed = request.arrived.elapsed();
-        let caller_left = request.caller_time.saturating_sub(passed);
+        let caller_left = request.caller_timeout.saturating_sub(passed);
         let spent_before = {
             let mut caller_times = self.outbound.caller_times.lock();
             caller_times.on_refused(&request.route.name, caller_left);
-            caller_times.spent_before(&request.route.name, request.caller_time)
+            caller_times.spent_before(&request.route.name, request.caller_timeout)
         };
         let refused = RefusedRequest {
             reason: not_run.reason,
@@ -101,7 +101,7 @@
             request: id_text(&self.request.id),
             route: self.request.route.name.clone(),
             service: self.request.service.clone(),
-            reason: reason.word(),
+            reason: reason.as_str(),
             outcome: reason.outcome(),
             attempts: self.attempts(),
             version: self.request.version,
@@ -115,7 +115,7 @@
         self.outbound.telemetry.emit(Event::ComeBackTold {
             request: id_text(&self.request.id),
             service: self.request.service.clone(),
-            reason: refused.reason.word(),
+            reason: refused.reason.as_str(),
             after_millis: millis(after),
             objective_left_millis: millis(refused.objective_left),
             service_millis: millis(refused.service),
@@ -127,8 +127,8 @@
             request: id_text(&self.request.id),
             service: self.request.service.clone(),
             attempts: self.attempts(),
-            origin: self.request.origin.word(),
-            stake: refusal.stake.map_or("none", RetryStake::word),
+            origin: self.request.origin.as_str(),
+            stake: refusal.stake.map_or("none", RetryPriority::as_str),
             saved: refusal.saved,
             most_saved: refusal.most_saved,
         });
--- a/crates/forwarding/src/outbound/handler.rs
+++ b/crates/forwarding/src/outbound/handler.rs
@@ -17,14 +17,14 @@
 use super::prepared::PreparedRequest;
 use super::reply::{Reply, ReplyReason};
 use super::state::Outbound;
-use crate::calls::{inherited_rank, inherited_time};
+use crate::calls::{inherited_priority, inherited_timeout};
 use crate::inbound::millis;
 use crate::message::{RequestBody, id_text};
 use crate::outcome::NotRunReason;
 use crate::quotas::OverQuota;
 use crate::routing::{CompiledRoute, NoTenant, RoutingTable};
 use crate::server::ServerControl;
-use crate::suspended_time::PastMoment;
+use crate::suspended_time::SuspendAwareInstant;
 
 /// Most of the time that a caller waits which counts when it finds no configuration. It comes back within a second then: a process that has
 /// just started gets its configuration within about that time over a slow link, and a caller has two or three tries only.
@@ -66,7 +66,7 @@
 
     /// The answer to a request that comes when the process is about to end.
     pub(crate) fn refuse_while_stopping(&self, head: &RequestHead) -> Reply {
-        let id = head.fields.get(self.dialect.request_id);
+        let id = head.fields.get(self.header_profile.request_id);
         self.refuse(id, ReplyReason::NotRun(NotRunReason::Stopping), Some(COME_BACK_AFTER_RESTART))
     }
 
@@ -76,7 +76,7 @@
         body: RequestBody,
         arrived: Instant,
     ) -> Result<PreparedRequest, Reply> {
-        let id = head.fields.get(self.dialect.request_id).cloned();
+        let id = head.fields.get(self.header_profile.request_id).cloned();
         let Some(table) = self.table.load_full() else {
             let reason = ReplyReason::NotRun(NotRunReason::NoConfiguration);
             let come_back = self.come_back_after_start(&head);
@@ -93,19 +93,19 @@
         };
         let told = self.told_time(&head);
         let time = told.map_or(route.timeout, |told| told.saturating_sub(ANSWER_RESERVE).min(route.timeout));
-        let caller_time = told.unwrap_or(route.timeout);
+        let caller_timeout = told.unwrap_or(route.timeout);
         let service = self.splits.lock().next(&mut *self.random.lock(), &route).clone();
         let id = id.unwrap_or_else(|| self.new_id());
         let source = self.inbound.runs().on_request(&id, &service);
         let run = source.run.as_ref();
         let own_rank = tenant.and_then(|tenant| tenant.priority).unwrap_or(route.priority);
-        let priority = inherited_rank(own_rank, run);
-        let time = inherited_time(time, arrived, run);
+        let priority = inherited_priority(own_rank, run);
+        let time = inherited_timeout(time, arrived, run);
         // A call brings what is left of its run, so that its time tells nothing of earlier tries.
         let tells_tries = told.is_some() && run.is_none();
-        let is_later_try = tells_tries && self.caller_times.lock().record(&route.name, caller_time);
+        let is_caller_retry = tells_tries && self.caller_times.lock().record(&route.name, caller_timeout);
         let version = table.version();
-        let key = self.dialect.caller_key.and_then(|name| head.fields.get(name)).cloned();
+        let key = self.header_profile.caller_key.and_then(|name| head.fields.get(name)).cloned();
         let fingerprint = RequestFingerprint::of(&RequestContent {
             method: &head.method,
             host,
@@ -126,10 +126,10 @@
             route,
             service,
             version,
-            arrived: PastMoment::new(arrived, self.inbound.suspended()),
+            arrived: SuspendAwareInstant::new(arrived, self.inbound.suspended()),
             time,
-            caller_time,
-            is_later_try,
+            caller_timeout,
+            is_caller_retry,
             origin: source.origin,
             run: source.run,
         })
@@ -138,7 +138,7 @@
     /// Takes the request's part of its tenant's quota.
     async fn take_quota(&self, request: &mut PreparedRequest) -> Result<(), Reply> {
         let Some(tenant) = &request.tenant else { return Ok(()) };
-        match self.quotas.admit(tenant, request.hold_until()).await {
+        match self.quotas.admit(tenant, request.queue_deadline()).await {
             Ok(permit) => {
                 request.permit = Some(permit);
                 Ok(())
@@ -159,7 +159,7 @@
                 period_millis: millis(refusals.period),
             });
         }
-        let left = request.caller_time.saturating_sub(request.arrived.elapsed());
+        let left = request.caller_timeout.saturating_sub(request.arrived.elapsed());
         self.caller_times.lock().on_refused(&request.route.name, left);
         let come_back = come_back_with_token(left, refusal.next_token_in, &mut *self.random.lock());
         self.own_reply(ReplyReason::OverQuota, Some(come_back), Some(&request.id))
@@ -176,7 +176,7 @@
         if tenants.is_empty() {
             return Ok(None);
         }
-        let mut keys = head.fields.get_all(self.dialect.tenant_key);
+        let mut keys = head.fields.get_all(self.header_profile.tenant_key);
         let key = keys.next();
         // Of two keys it is not known which one is meant.
         let found = if keys.next().is_some() {
@@ -193,7 +193,7 @@
 
     /// Time that the caller waits, by its own word.
     fn told_time(&self, head: &RequestHead) -> Option<Duration> {
-        let millis = head.fields.text(self.dialect.deadline_millis)?.parse().ok()?;
+        let millis = head.fields.text(self.header_profile.deadline_millis)?.parse().ok()?;
         Some(Duration::from_millis(millis))
     }
 
@@ -206,7 +206,7 @@
     /// The head as every attempt sends it.
     fn passed_on(&self, mut head: RequestHead, route: &CompiledRoute) -> RequestHead {
         head.fields.remove_connection_fields();
-        for reserved in self.dialect.reserved() {
+        for reserved in self.header_profile.reserved() {
             head.fields.remove(reserved);
         }
         for (name, value) in &route.credentials {
@@ -222,7 +222,7 @@
 
     fn refuse(&self, id: Option<&Bytes>, reason: ReplyReason, retry_after: Option<Duration>) -> Reply {
         let request = id.map_or_else(String::new, |id| id_text(id));
-        self.telemetry.emit(Event::RequestTurnedAway { request, reason: reason.word() });
+        self.telemetry.emit(Event::RequestTurnedAway { request, reason: reason.as_str() });
         self.own_reply(reason, retry_after, id)
     }
 
--- a/crates/forwarding/src/outbound/prepared.rs
+++ b/crates/forwarding/src/outbound/prepared.rs
@@ -13,9 +13,9 @@
 
 use crate::message::{RequestBody, RunCall};
 use crate::quotas::QuotaPermit;
-use crate::repeats::{CallOrigin, RunContext};
+use crate::retries::{CallOrigin, RunContext};
 use crate::routing::CompiledRoute;
-use crate::suspended_time::PastMoment;
+use crate::suspended_time::SuspendAwareInstant;
 
 /// A request with its route.
 #[derive(Debug)]
@@ -39,13 +39,13 @@
     pub(super) priority: u8,
     /// Version of the configuration by which the route was found.
     pub(super) version: Version,
-    pub(super) arrived: PastMoment,
+    pub(super) arrived: SuspendAwareInstant,
     /// Longest time from the arrival to the answer.
     pub(super) time: Duration,
     /// Time that the caller waits, by its own word, or else that of the route.
-    pub(super) caller_time: Duration,
+    pub(super) caller_timeout: Duration,
     /// Whether the caller has sent it before and was refused.
-    pub(super) is_later_try: bool,
+    pub(super) is_caller_retry: bool,
     /// Whether a run at the back end beside this node has made it, and which.
     pub(super) origin: CallOrigin,
     /// The run that has made it; absent if none is known to have.
@@ -70,13 +70,13 @@
     }
 
     /// When it is given up if no back end has been handed it.
-    pub(super) fn hold_until(&self) -> Instant {
-        self.wait_bounds().hold_until().into()
+    pub(super) fn queue_deadline(&self) -> Instant {
+        self.wait_bounds().queue_deadline().into()
     }
 
     /// Longest wait for a slot.
-    pub(super) fn patience(&self, service: Duration) -> Duration {
-        self.wait_bounds().patience(Instant::now().into_std(), service)
+    pub(super) fn max_queue_wait(&self, service: Duration) -> Duration {
+        self.wait_bounds().max_queue_wait(Instant::now().into_std(), service)
     }
 
     fn wait_bounds(&self) -> WaitBounds {
@@ -84,7 +84,7 @@
             arrived: self.arrived.at().into_std(),
             objective: self.route.objective,
             deadline: self.deadline().into_std(),
-            caller_time: self.caller_time,
+            caller_timeout: self.caller_timeout,
             dependent: self.dependent(),
         }
     }
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -6,8 +6,8 @@
 use umberpond_http1::Fields;
 use umberpond_model::{Locality, NodeName, Version};
 
-use crate::dialect::CallerMarks;
-use crate::message::{Answer, AnswerBody};
+use crate::header_profile::ResponseHeaders;
+use crate::message::{Response, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::routing::NoTenant;
 
@@ -57,7 +57,7 @@
     }
 
     /// The reason as one word.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Malformed => "malformed",
             Self::HeadTooLarge => "head-too-large",
@@ -67,8 +67,8 @@
             Self::OverQuota => "over-quota",
             Self::NoTenant(NoTenant::NoKey) => "no-key",
             Self::NoTenant(NoTenant::UnknownKey) => "unknown-key",
-            Self::NotRun(reason) => reason.word(),
-            Self::Unknown(reason) => reason.word(),
+            Self::NotRun(reason) => reason.as_str(),
+            Self::Unknown(reason) => reason.as_str(),
         }
     }
 
@@ -83,7 +83,7 @@
 pub(crate) struct Reply {
     pub(crate) status: u16,
     pub(crate) fields: Fields,
-    pub(crate) body: AnswerBody,
+    pub(crate) body: ResponseBody,
     /// Whether the caller's connection ends after it.
     pub(crate) closes: bool,
     /// Why this node answers by itself; absent if a back end has answered.
@@ -95,9 +95,9 @@
     pub(crate) fn own(
         reason: ReplyReason,
         retry_after: Option<Duration>,
-        marks: Option<&CallerMarks>,
+        marks: Option<&ResponseHeaders>,
     ) -> Self {
-        let word = reason.word();
+        let word = reason.as_str();
         let mut fields = Fields::default();
         fields.push(&b"Content-Type"[..], &b"text/plain"[..]);
         if let Some(after) = retry_after {
@@ -107,12 +107,12 @@
             fields.push(marks.outcome, reason.outcome());
             fields.push(marks.reason, word);
         }
-        let body = AnswerBody::Whole(Bytes::from(word));
+        let body = ResponseBody::Whole(Bytes::from(word));
         Self { status: reason.status(), fields, body, closes: reason.closes(), reason: Some(reason) }
     }
 
     /// The answer of a back end, which `node` at `locality` served.
-    pub(crate) fn of_answer(answer: Answer, marks: Option<&CallerMarks>, served: &Served<'_>) -> Self {
+    pub(crate) fn of_answer(answer: Response, marks: Option<&ResponseHeaders>, served: &Served<'_>) -> Self {
         let mut fields = answer.fields;
         if let Some(marks) = marks {
             fields.set(marks.outcome, "answered");
--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -22,12 +22,12 @@
 use super::caller_times::CallerTimes;
 use super::reply::{Reply, ReplyReason};
 use crate::clock::now;
-use crate::dialect::Dialect;
+use crate::header_profile::HeaderProfile;
 use crate::hop::{HopPool, HopPoolSettings};
 use crate::inbound::{Inbound, InboundAccess};
 use crate::quarantine::Quarantine;
 use crate::quotas::QuotaGate;
-use crate::repeats::RetryLedger;
+use crate::retries::RetryLedger;
 use crate::routing::{RoutingTable, SplitSequences};
 
 /// Limits of the outbound half.
@@ -69,7 +69,7 @@
 
 /// The outbound half of one node.
 pub struct Outbound {
-    pub(super) dialect: Dialect,
+    pub(super) header_profile: HeaderProfile,
     pub(super) telemetry: Telemetry,
     pub(super) inbound: Arc<Inbound>,
     pub(super) node: NodeName,
@@ -113,7 +113,7 @@
     #[must_use]
     pub fn new(
         identity: OutboundIdentity,
-        dialect: Dialect,
+        header_profile: HeaderProfile,
         settings: OutboundSettings,
         network: Arc<dyn Network>,
         telemetry: Telemetry,
@@ -127,7 +127,7 @@
         let ledger = Arc::new(RetryLedger::new(settings.retry_budget, telemetry.clone()));
         inbound.set_ledger(Arc::clone(&ledger));
         Arc::new(Self {
-            dialect,
+            header_profile,
             ledger,
             // The seed is drawn anew for each process, so it tells their reports apart.
             quotas: QuotaGate::new(Box::new(PooledShares::new(identity.seed))),
@@ -255,7 +255,7 @@
 
     /// Takes in what a node told of the load of its back end.
     pub fn on_report(&self, service: &ServiceName, node: &NodeName, report: LoadReport) {
-        self.selector.lock().on_present_report(now(), service, node, report);
+        self.selector.lock().on_fresh_report(now(), service, node, report);
     }
 
     /// The quotas of tenants.
@@ -275,7 +275,7 @@
     /// connections to other nodes may have ended meanwhile.
     pub fn on_suspended(&self, suspended: Duration) {
         self.inbound.suspended().add(suspended);
-        self.ledger.forget_saved();
+        self.ledger.discard_savings();
         self.hops.clear();
     }
 
@@ -303,10 +303,10 @@
         retry_after: Option<Duration>,
         id: Option<&Bytes>,
     ) -> Reply {
-        self.telemetry.metrics().request(reason.outcome(), RequestDetail::Reason(reason.word()));
-        let mut reply = Reply::own(reason, retry_after, self.dialect.marks.as_ref());
+        self.telemetry.metrics().request(reason.outcome(), RequestDetail::Reason(reason.as_str()));
+        let mut reply = Reply::own(reason, retry_after, self.header_profile.marks.as_ref());
         if let Some(id) = id {
-            reply.fields.set(self.dialect.request_id, id.clone());
+            reply.fields.set(self.header_profile.request_id, id.clone());
         }
         reply
     }
--- a/crates/forwarding/src/outcome.rs
+++ b/crates/forwarding/src/outcome.rs
@@ -5,7 +5,7 @@
 
 /// Why it is known that a request did not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode, Error)]
-#[error("{}", self.word())]
+#[error("{}", self.as_str())]
 pub enum NotRunReason {
     /// This node has no configuration yet.
     NoConfiguration,
@@ -54,7 +54,7 @@
 impl NotRunReason {
     /// The reason as one word, for logs, figures and callers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
             Self::NoConfiguration => "no-configuration",
             Self::Stopping => "stopping",
@@ -83,18 +83,18 @@
 
 /// Why it is not known whether a request ran.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode, Error)]
-#[error("{}", self.word())]
+#[error("{}", self.as_str())]
 pub enum UnknownReason {
     /// The connection to the node beside the back end broke.
-    NodeLost,
+    NodeConnectionLost,
     /// The connection to the back end broke before an answer.
     BackEndClosed,
     /// The back end has ended while it ran the request.
     BackEndCrashed,
     /// What the back end sent is no answer to this request.
-    AnswerSpoiled,
+    InvalidResponse,
     /// The answer broke off.
-    AnswerCut,
+    TruncatedResponse,
     /// The time was up before an answer came.
     TimedOut,
     /// A request with this identity was admitted before.
@@ -108,18 +108,18 @@
 impl UnknownReason {
     /// Whether the connection to the back end broke, which is also how its end shows.
     pub(crate) const fn is_broken_connection(self) -> bool {
-        matches!(self, Self::BackEndClosed | Self::AnswerCut)
+        matches!(self, Self::BackEndClosed | Self::TruncatedResponse)
     }
 
     /// The reason as one word, for logs, figures and callers.
     #[must_use]
-    pub const fn word(self) -> &'static str {
+    pub const fn as_str(self) -> &'static str {
         match self {
-            Self::NodeLost => "node-lost",
+            Self::NodeConnectionLost => "node-lost",
             Self::BackEndClosed => "back-end-closed",
             Self::BackEndCrashed => "back-end-crashed",
-            Self::AnswerSpoiled => "answer-spoiled",
-            Self::AnswerCut => "answer-cut",
+            Self::InvalidResponse => "answer-spoiled",
+            Self::TruncatedResponse => "answer-cut",
             Self::TimedOut => "timed-out",
             Self::Duplicate => "duplicate",
             Self::RepeatedKey => "repeated-key",
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -1,7 +1,7 @@
 //! The requests under suspicion of ending back ends, as this node knows them.
 //!
 //! The node beside a back end finds its end and what ran there, and blames; what a back end answers without a failure is cleared. What is found here is told to the other nodes by
-//! whoever takes it from [`Quarantine::take_news`], and what they tell is joined. Both halves of the request path ask how a request stands.
+//! whoever takes it from [`Quarantine::take_updates`], and what they tell is joined. Both halves of the request path ask how a request stands.
 
 use std::collections::BTreeSet;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -9,8 +9,8 @@
 use parking_lot::Mutex;
 use tokio::sync::Notify;
 use umberpond_quarantine::{
-    CrashId, Joined, QuarantineSettings, RequestFingerprint, RequestKey, Standing, SuspectLedger,
-    SuspectRecord,
+    CrashId, MergeOutcome, QuarantineSettings, RequestFingerprint, RequestKey, SuspectLedger, SuspectRecord,
+    SuspicionLevel,
 };
 use umberpond_telemetry::{Event, Telemetry};
 
@@ -29,7 +29,7 @@
 
 impl FindingSource {
     /// The source as one word, for logs.
-    const fn word(self) -> &'static str {
+    const fn as_str(self) -> &'static str {
         match self {
             Self::Here => "here",
             Self::Node => "node",
@@ -65,16 +65,16 @@
     }
 
     /// How a request is treated.
-    pub(crate) fn standing(&self, key: &RequestKey) -> Standing {
+    pub(crate) fn standing(&self, key: &RequestKey) -> SuspicionLevel {
         if self.is_empty.load(Ordering::Relaxed) {
-            return Standing::Clear;
+            return SuspicionLevel::Clear;
         }
         self.ledger.lock().standing(now(), key)
     }
 
     /// Whether a request is under suspicion.
     pub(crate) fn is_suspect(&self, key: &RequestKey) -> bool {
-        self.standing(key) != Standing::Clear
+        self.standing(key) != SuspicionLevel::Clear
     }
 
     /// Told whenever a request under suspicion may begin that could not before.
@@ -110,14 +110,14 @@
     }
 
     /// Joins what another node or the store tells.
-    pub fn join(&self, records: &[SuspectRecord], source: FindingSource) -> Joined {
+    pub fn join(&self, records: &[SuspectRecord], source: FindingSource) -> MergeOutcome {
         let joined = self.ledger.lock().join(now(), records);
         self.on_changed(&joined.changed, source);
         joined
     }
 
     /// Waits for something that was found here, and takes it. Safe to cancel.
-    pub async fn take_news(&self) -> Vec<SuspectRecord> {
+    pub async fn take_updates(&self) -> Vec<SuspectRecord> {
         loop {
             let news = std::mem::take(&mut *self.news.lock());
             if !news.is_empty() {
@@ -172,15 +172,15 @@
     fn tell(&self, fingerprint: &RequestFingerprint, source: FindingSource) {
         let ledger = self.ledger.lock();
         let standing = ledger.standing_of(now(), fingerprint);
-        let crashes = ledger.crashes_of(fingerprint) as u64;
+        let crashes = ledger.fingerprint_crash_count(fingerprint) as u64;
         drop(ledger);
-        let (fingerprint, source) = (fingerprint.to_string(), source.word());
+        let (fingerprint, source) = (fingerprint.to_string(), source.as_str());
         self.telemetry.emit(match standing {
-            Standing::Clear => Event::RequestCleared { fingerprint, source },
-            Standing::Suspected | Standing::Alone | Standing::Paused(_) => {
+            SuspicionLevel::Clear => Event::RequestCleared { fingerprint, source },
+            SuspicionLevel::Suspected | SuspicionLevel::Isolated | SuspicionLevel::Paused(_) => {
                 Event::RequestSuspected { fingerprint, crashes, source }
             }
-            Standing::Quarantined => Event::RequestQuarantined { fingerprint, crashes, source },
+            SuspicionLevel::Quarantined => Event::RequestQuarantined { fingerprint, crashes, source },
         });
     }
 }
--- a/crates/forwarding/src/quotas.rs
+++ b/crates/forwarding/src/quotas.rs
@@ -7,8 +7,10 @@
 use parking_lot::Mutex;
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, timeout_at};
-use umberpond_model::{TenantName, TenantNumber};
-use umberpond_quotas::{LONGEST_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenAnswer, TokenPool};
+use umberpond_model::{TenantId, TenantName};
+use umberpond_quotas::{
+    MAX_TOKEN_WAIT, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision, TokenPool,
+};
 
 use crate::clock::now;
 
@@ -52,9 +54,9 @@
 /// What comes of asking for a token.
 enum TokenTurn {
     /// One is granted, or refused.
-    Told(TokenAnswer),
+    Told(TokenDecision),
     /// Others are asked; what comes of it is told here.
-    Waits(oneshot::Receiver<TokenAnswer>),
+    Waits(oneshot::Receiver<TokenDecision>),
 }
 
 #[derive(Debug)]
@@ -62,8 +64,8 @@
     sharing: Box<dyn QuotaSharing>,
     pool: TokenPool,
     has_quotas: bool,
-    waiting: HashMap<TenantNumber, VecDeque<oneshot::Sender<TokenAnswer>>>,
-    refusals: HashMap<TenantNumber, RefusalCount>,
+    waiting: HashMap<TenantId, VecDeque<oneshot::Sender<TokenDecision>>>,
+    refusals: HashMap<TenantId, RefusalCount>,
     /// Tokens that nobody used and that were told of.
     told_expired: u64,
 }
@@ -89,21 +91,21 @@
         tenant: &TenantName,
         until: Instant,
     ) -> Result<QuotaPermit, OverQuota> {
-        let number = TenantNumber::of(tenant);
+        let number = TenantId::of(tenant);
         let answer = match self.take(number) {
             TokenTurn::Told(answer) => answer,
             TokenTurn::Waits(waiter) => {
                 self.token_wanted.notify_one();
-                let until = until.min(Instant::now() + LONGEST_WAIT);
+                let until = until.min(Instant::now() + MAX_TOKEN_WAIT);
                 let told = timeout_at(until, waiter).await;
-                told.ok().and_then(Result::ok).unwrap_or(TokenAnswer::Refused)
+                told.ok().and_then(Result::ok).unwrap_or(TokenDecision::Refused)
             }
         };
-        let TokenAnswer::Granted { good_until } = answer else { return Err(self.over_quota(number)) };
-        Ok(QuotaPermit { gate: Arc::clone(self), tenant: number, good_until })
+        let TokenDecision::Granted { expires_at } = answer else { return Err(self.over_quota(number)) };
+        Ok(QuotaPermit { gate: Arc::clone(self), tenant: number, expires_at })
     }
 
-    fn over_quota(&self, tenant: TenantNumber) -> OverQuota {
+    fn over_quota(&self, tenant: TenantId) -> OverQuota {
         let mut state = self.state.lock();
         OverQuota {
             next_token_in: state.sharing.next_token_in(now(), tenant),
@@ -118,11 +120,11 @@
         expired - std::mem::replace(&mut state.told_expired, expired)
     }
 
-    fn take(&self, tenant: TenantNumber) -> TokenTurn {
+    fn take(&self, tenant: TenantId) -> TokenTurn {
         let mut state = self.state.lock();
         state.sharing.on_request(now(), tenant);
         let answer = state.sharing.take(now(), tenant);
-        if answer != TokenAnswer::Ask {
+        if answer != TokenDecision::Ask {
             return TokenTurn::Told(answer);
         }
         let (sender, receiver) = oneshot::channel();
@@ -176,8 +178,8 @@
         state.tell_waiting();
     }
 
-    fn give_back(&self, tenant: TenantNumber, good_until: std::time::Instant) {
-        self.state.lock().sharing.give_back(now(), tenant, good_until);
+    fn give_back(&self, tenant: TenantId, expires_at: std::time::Instant) {
+        self.state.lock().sharing.give_back(now(), tenant, expires_at);
     }
 }
 
@@ -191,18 +193,18 @@
                     continue;
                 }
                 let answer = sharing.take(now(), *tenant);
-                if answer == TokenAnswer::Ask {
+                if answer == TokenDecision::Ask {
                     queue.push_front(waiter);
                     break;
                 }
-                let Err(TokenAnswer::Granted { good_until }) = waiter.send(answer) else { continue };
-                sharing.give_back(now(), *tenant, good_until);
+                let Err(TokenDecision::Granted { expires_at }) = waiter.send(answer) else { continue };
+                sharing.give_back(now(), *tenant, expires_at);
             }
         }
     }
 
     /// Counts one refusal. The first one of a tenant begins a period.
-    fn count_refusal(&mut self, tenant: TenantNumber, now: Instant) -> Option<QuotaRefusals> {
+    fn count_refusal(&mut self, tenant: TenantId, now: Instant) -> Option<QuotaRefusals> {
         let count = self.refusals.entry(tenant).or_insert(RefusalCount { refused: 0, since: now });
         count.refused += 1;
         let period = now.saturating_duration_since(count.since);
@@ -226,13 +228,13 @@
 #[derive(Debug)]
 pub(crate) struct QuotaPermit {
     gate: Arc<QuotaGate>,
-    tenant: TenantNumber,
-    good_until: std::time::Instant,
+    tenant: TenantId,
+    expires_at: std::time::Instant,
 }
 
 impl QuotaPermit {
     /// Gives the token back: the request has not run.
     pub(crate) fn give_back(self) {
-        self.gate.give_back(self.tenant, self.good_until);
+        self.gate.give_back(self.tenant, self.expires_at);
     }
 }
--- a/crates/forwarding/src/repeats/ledger.rs
+++ b/crates/forwarding/src/retries/ledger.rs
@@ -7,7 +7,7 @@
 use parking_lot::Mutex;
 use tokio::time::Instant;
 use umberpond_model::ServiceName;
-use umberpond_selection::{RetryBudget, RetryBudgetSettings, RetryOwner, RetryStake, RetryStakes};
+use umberpond_selection::{RetryBudget, RetryBudgetSettings, RetryInitiator, RetryPriority, RetryStakes};
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::call_rates::{CallRates, RunCalls};
@@ -19,11 +19,11 @@
 
 /// What a repeat is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum RepeatKind {
+pub(crate) enum RetryKind {
     /// A request that is sent to another back end after it has reached one.
     SentAgain,
     /// The first arrival of a call of a repeated run.
-    RepeatedCall,
+    RetriedRunCall,
 }
 
 /// What was counted of one service since the last line about it.
@@ -43,11 +43,11 @@
         self.repeats + self.repeated_calls + self.withheld > 0
     }
 
-    const fn count_repeat(&mut self, kind: RepeatKind, is_taken: bool) {
+    const fn count_repeat(&mut self, kind: RetryKind, is_taken: bool) {
         let count = match kind {
             _ if !is_taken => &mut self.withheld,
-            RepeatKind::SentAgain => &mut self.repeats,
-            RepeatKind::RepeatedCall => &mut self.repeated_calls,
+            RetryKind::SentAgain => &mut self.repeats,
+            RetryKind::RetriedRunCall => &mut self.repeated_calls,
         };
         *count += 1;
     }
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RetryRefusal {
     /// What was at stake; absent if nothing was, since the run has lost another call.
-    pub(crate) stake: Option<RetryStake>,
+    pub(crate) stake: Option<RetryPriority>,
     /// Repeats that the node has saved.
     pub(crate) saved: u64,
     /// The most that it may save.
@@ -76,7 +76,7 @@
     fn take_for(
         &mut self,
         now: std::time::Instant,
-        owner: RetryOwner,
+        owner: RetryInitiator,
         nodes: Option<usize>,
         settings: &RetryBudgetSettings,
     ) -> Result<(), RetryRefusal> {
@@ -95,7 +95,7 @@
     fn refusal(
         &mut self,
         now: std::time::Instant,
-        stake: Option<RetryStake>,
+        stake: Option<RetryPriority>,
         nodes: Option<usize>,
         settings: &RetryBudgetSettings,
     ) -> RetryRefusal {
@@ -139,14 +139,14 @@
         let now = Instant::now().into_std();
         self.with_account(service, |account, nodes| {
             account.counts.requests += 1;
-            if origin != CallOrigin::RepeatedRun {
+            if origin != CallOrigin::RetriedRun {
                 account.budget.count_request(now, nodes, &self.settings);
             }
         });
     }
 
     /// Takes a repeat out of the budget of `service`, whatever is at stake with it; absent if the budget is spent.
-    pub(crate) fn take(self: &Arc<Self>, service: &ServiceName, kind: RepeatKind) -> Option<RetryGrant> {
+    pub(crate) fn take(self: &Arc<Self>, service: &ServiceName, kind: RetryKind) -> Option<RetryPermit> {
         let now = Instant::now().into_std();
         let is_taken = self.with_account(service, |account, nodes| {
             let is_taken = account.budget.take(now, nodes, &self.settings);
@@ -163,19 +163,19 @@
     pub(crate) fn take_for(
         self: &Arc<Self>,
         service: &ServiceName,
-        owner: RetryOwner,
-    ) -> Result<RetryGrant, RetryRefusal> {
+        owner: RetryInitiator,
+    ) -> Result<RetryPermit, RetryRefusal> {
         let now = Instant::now().into_std();
         let taken = self.with_account(service, |account, nodes| {
             let taken = account.take_for(now, owner, nodes, &self.settings);
-            account.counts.count_repeat(RepeatKind::SentAgain, taken.is_ok());
+            account.counts.count_repeat(RetryKind::SentAgain, taken.is_ok());
             taken
         });
         taken.map(|()| self.grant(service))
     }
 
-    fn grant(self: &Arc<Self>, service: &ServiceName) -> RetryGrant {
-        RetryGrant { ledger: Arc::clone(self), service: service.clone(), has_arrived: true }
+    fn grant(self: &Arc<Self>, service: &ServiceName) -> RetryPermit {
+        RetryPermit { ledger: Arc::clone(self), service: service.clone(), has_arrived: true }
     }
 
     /// What is told of a repeat that was withheld whatever was at stake.
@@ -185,21 +185,21 @@
     }
 
     /// Drops what is saved of all budgets.
-    pub(crate) fn forget_saved(&self) {
+    pub(crate) fn discard_savings(&self) {
         for account in self.accounts.lock().values_mut() {
-            account.budget.forget_saved();
+            account.budget.discard_savings();
         }
     }
 
     /// Whether the budgets of the called services bear the calls of `runs` repeated runs of `route` at the back end beside this node. A repeated run
     /// lacks all its calls, so nothing of what is kept for runs that lack one is spent on it.
-    pub(crate) fn bears_calls(&self, route: u32, runs: u32) -> bool {
+    pub(crate) fn can_afford_calls(&self, route: u32, runs: u32) -> bool {
         let now = Instant::now().into_std();
         let rates = self.rates.lock();
         rates.of_route(route).all(|(service, rate)| {
             let left = self.with_account(service, |account, nodes| {
                 let most_saved = account.budget.most_saved(now, nodes, &self.settings);
-                let reserved = account.stakes.reserved(now, RetryStake::RunInDoubt, most_saved);
+                let reserved = account.stakes.reserved(now, RetryPriority::RunInDoubt, most_saved);
                 account.budget.left_above(now, nodes, &self.settings, reserved)
             });
             left >= rate * f64::from(runs)
@@ -212,7 +212,7 @@
     }
 
     /// The services that runs of `route` call, with the calls of a run that makes any.
-    pub(crate) fn calls_of(&self, route: u32) -> Vec<(ServiceName, f64)> {
+    pub(crate) fn expected_calls(&self, route: u32) -> Vec<(ServiceName, f64)> {
         let rates = self.rates.lock();
         rates.of_route(route).map(|(service, rate)| (service.clone(), rate)).collect()
     }
@@ -268,20 +268,20 @@
 
 /// A repeat that was taken out of a budget. It counts as sent when it is dropped, also with a request whose caller has left.
 #[derive(Debug)]
-pub(crate) struct RetryGrant {
+pub(crate) struct RetryPermit {
     ledger: Arc<RetryLedger>,
     service: ServiceName,
     has_arrived: bool,
 }
 
-impl RetryGrant {
+impl RetryPermit {
     /// Gives the repeat back: it arrived at no back end.
     pub(crate) fn give_back(mut self) {
         self.has_arrived = false;
     }
 }
 
-impl Drop for RetryGrant {
+impl Drop for RetryPermit {
     fn drop(&mut self) {
         self.ledger.end_grant(&self.service, self.has_arrived);
     }
--- a/crates/forwarding/src/repeats/open_runs.rs
+++ b/crates/forwarding/src/retries/open_runs.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use parking_lot::Mutex;
 use tokio::time::Instant;
-use umberpond_model::{ServiceName, TenantNumber};
+use umberpond_model::{ServiceName, TenantId};
 use umberpond_scheduling::CallLevel;
 use umberpond_selection::OtherCalls;
 
@@ -26,16 +26,16 @@
     /// A call of the first run of a request.
     FirstRun,
     /// A call of a run that was a repeat.
-    RepeatedRun,
+    RetriedRun,
 }
 
 impl CallOrigin {
     /// The origin as one word, for logs.
-    pub(crate) const fn word(self) -> &'static str {
+    pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Outside => "outside",
             Self::FirstRun => "first-run",
-            Self::RepeatedRun => "repeated-run",
+            Self::RetriedRun => "repeated-run",
         }
     }
 }
@@ -48,7 +48,7 @@
     /// Level that its calls take over.
     pub(crate) level: CallLevel,
     /// Tenant on whose behalf it runs; absent if it is of none.
-    pub(crate) tenant: Option<TenantNumber>,
+    pub(crate) tenant: Option<TenantId>,
     /// End of the time within which its answer is of any use.
     pub(crate) deadline: Instant,
 }
@@ -85,14 +85,14 @@
 
 /// The runs at the back end beside this node.
 #[derive(Debug)]
-pub(crate) struct OpenRuns {
+pub(crate) struct ActiveRuns {
     /// What stands between the identity of a request and the rest of that of a call.
     separator: Option<u8>,
     state: Mutex<State>,
 }
 
-impl OpenRuns {
-    /// Without runs; `separator` as in [`crate::Dialect::call_separator`].
+impl ActiveRuns {
+    /// Without runs; `separator` as in [`crate::HeaderProfile::call_separator`].
     pub(crate) fn new(separator: Option<u8>) -> Self {
         Self { separator, state: Mutex::default() }
     }
@@ -133,16 +133,16 @@
             Some((_, count)) => *count += 1,
             None => run.calls.push((service.clone(), 1)),
         }
-        let origin = if run.is_repeat { CallOrigin::RepeatedRun } else { CallOrigin::FirstRun };
+        let origin = if run.is_repeat { CallOrigin::RetriedRun } else { CallOrigin::FirstRun };
         RequestSource { origin, run: Some(run.context.clone()) }
     }
 
     /// Follows the call named `id` until it ends; absent if it is none of a run at the back end.
-    pub(crate) fn follow(self: &Arc<Self>, id: &Bytes) -> Option<FollowedCall> {
+    pub(crate) fn follow(self: &Arc<Self>, id: &Bytes) -> Option<TrackedCall> {
         let mut state = self.state.lock();
         let end = self.end_of_run(&state, id)?;
         state.runs.get_mut(&id[..end])?.followed.begin(id);
-        Some(FollowedCall { runs: Arc::clone(self), run: id.slice(..end), call: id.clone() })
+        Some(TrackedCall { runs: Arc::clone(self), run: id.slice(..end), call: id.clone() })
     }
 
     /// Where in the identity of a call that of its run ends; absent if no run is known to have made it.
@@ -164,7 +164,7 @@
     }
 
     /// Repeated runs of `route` at the back end.
-    pub(crate) fn repeated_runs(&self, route: u32) -> u32 {
+    pub(crate) fn retried_runs(&self, route: u32) -> u32 {
         let state = self.state.lock();
         let is_counted = |run: &&Run| run.is_repeat && run.route == route;
         u32::try_from(state.runs.values().filter(is_counted).count()).unwrap_or(u32::MAX)
@@ -183,13 +183,13 @@
 
 /// A call of a run at the back end. It counts as lost when it is dropped before its end: whoever made it awaits no answer.
 #[derive(Debug)]
-pub(crate) struct FollowedCall {
-    runs: Arc<OpenRuns>,
+pub(crate) struct TrackedCall {
+    runs: Arc<ActiveRuns>,
     run: Bytes,
     call: Bytes,
 }
 
-impl FollowedCall {
+impl TrackedCall {
     /// Takes in that a back end has turned the call away.
     pub(crate) fn on_rejected(&self) {
         self.runs.set_call(&self.run, &self.call, CallState::Rejected);
@@ -206,7 +206,7 @@
     }
 }
 
-impl Drop for FollowedCall {
+impl Drop for TrackedCall {
     fn drop(&mut self) {
         self.runs.set_call(&self.run, &self.call, CallState::Lost);
     }
@@ -216,7 +216,7 @@
 /// with a request whose answer nobody awaits, and make calls.
 #[derive(Debug)]
 pub(crate) struct OpenRun {
-    runs: Arc<OpenRuns>,
+    runs: Arc<ActiveRuns>,
     id: Bytes,
     deadline: Instant,
 }
--- a/crates/forwarding/src/repeats/tests.rs
+++ b/crates/forwarding/src/retries/tests.rs
@@ -8,11 +8,11 @@
 use umberpond_http1::Fields;
 use umberpond_model::{HomeRegions, ServiceName};
 use umberpond_quarantine::{RequestContent, RequestFingerprint, RequestKey};
-use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryOwner, RetryStake};
+use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryInitiator, RetryPriority};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
 
 use super::sharing::SharingNodes;
-use super::{CallOrigin, OpenRuns, RepeatKind, RetryLedger};
+use super::{ActiveRuns, CallOrigin, RetryKind, RetryLedger};
 use crate::message::{Attempt, RequestBody};
 
 const ROUTE: u32 = 7;
@@ -38,17 +38,17 @@
         method: Bytes::from_static(b"GET"),
         target: Bytes::from_static(b"/"),
         fields: Fields::default(),
-        body: RequestBody::Spent,
+        body: RequestBody::Consumed,
         is_idempotent: true,
         route: ROUTE,
         priority: 1,
-        is_far: false,
+        is_cross_zone: false,
         objective_at: now,
         deadline: now + Duration::from_secs(2),
-        hold_until: now,
-        patience: Duration::ZERO,
+        queue_deadline: now,
+        max_queue_wait: Duration::ZERO,
         service_time: Duration::ZERO,
-        is_later_try: false,
+        is_caller_retry: false,
         is_repeat,
         call: None,
     }
@@ -61,20 +61,20 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_call_is_known_by_the_identity_of_its_run() {
-    let runs = Arc::new(OpenRuns::new(Some(b'.')));
+    let runs = Arc::new(ActiveRuns::new(Some(b'.')));
     let first = runs.begin(&attempt("one", false));
     let repeat = runs.begin(&attempt("two.call", true));
     let ledger = service("ledger");
     assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::FirstRun);
-    assert_eq!(runs.on_request(b"two.call.x", &ledger).origin, CallOrigin::RepeatedRun);
+    assert_eq!(runs.on_request(b"two.call.x", &ledger).origin, CallOrigin::RetriedRun);
     for other in ["one", "oneself", "other.x", "two.x", ""] {
         assert_eq!(runs.on_request(other.as_bytes(), &ledger).origin, CallOrigin::Outside, "{other}");
     }
     assert_eq!(first.end(), vec![(ledger.clone(), 1)]);
     assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::Outside, "the run is over");
-    assert_eq!(runs.repeated_runs(ROUTE), 1);
+    assert_eq!(runs.retried_runs(ROUTE), 1);
     drop(repeat);
-    assert_eq!(runs.on_request(b"two.call.y", &ledger).origin, CallOrigin::RepeatedRun, "it may still run");
+    assert_eq!(runs.on_request(b"two.call.y", &ledger).origin, CallOrigin::RetriedRun, "it may still run");
     sleep(Duration::from_secs(3)).await;
     drop(runs.begin(&attempt("three", false)));
     assert_eq!(runs.on_request(b"two.call.z", &ledger).origin, CallOrigin::Outside, "its deadline is over");
@@ -84,26 +84,26 @@
 async fn a_repeat_begins_only_if_its_calls_can_be_paid_for() {
     let ledger = ledger(0.2);
     let called = service("ledger");
-    assert!(ledger.bears_calls(ROUTE, 1), "nothing is known of its calls");
+    assert!(ledger.can_afford_calls(ROUTE, 1), "nothing is known of its calls");
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
-    assert!(!ledger.bears_calls(ROUTE, 1));
+    assert!(!ledger.can_afford_calls(ROUTE, 1));
     for _ in 0..41 {
         ledger.count_request(&called, CallOrigin::FirstRun);
     }
-    assert!(ledger.bears_calls(ROUTE, 2), "four calls are earned");
-    assert!(!ledger.bears_calls(ROUTE, 3));
-    assert!(ledger.bears_calls(ROUTE + 1, 3), "runs of another route make no calls");
-    let grant = ledger.take(&called, RepeatKind::RepeatedCall).unwrap();
-    assert!(!ledger.bears_calls(ROUTE, 2));
+    assert!(ledger.can_afford_calls(ROUTE, 2), "four calls are earned");
+    assert!(!ledger.can_afford_calls(ROUTE, 3));
+    assert!(ledger.can_afford_calls(ROUTE + 1, 3), "runs of another route make no calls");
+    let grant = ledger.take(&called, RetryKind::RetriedRunCall).unwrap();
+    assert!(!ledger.can_afford_calls(ROUTE, 2));
     grant.give_back();
-    assert!(ledger.bears_calls(ROUTE, 2));
-    drop(ledger.take(&called, RepeatKind::SentAgain));
-    assert!(!ledger.bears_calls(ROUTE, 2), "what may have arrived is spent");
+    assert!(ledger.can_afford_calls(ROUTE, 2));
+    drop(ledger.take(&called, RetryKind::SentAgain));
+    assert!(!ledger.can_afford_calls(ROUTE, 2), "what may have arrived is spent");
 }
 
 #[tokio::test(start_paused = true)]
 async fn it_is_known_how_the_other_calls_of_a_run_stand() {
-    let runs = Arc::new(OpenRuns::new(Some(b'.')));
+    let runs = Arc::new(ActiveRuns::new(Some(b'.')));
     let run = runs.begin(&attempt("one", false));
     let follow = |id: &'static str| runs.follow(&Bytes::from_static(id.as_bytes()));
     assert!(follow("other.a").is_none(), "no such run");
@@ -135,15 +135,15 @@
     for _ in 0..81 {
         ledger.count_request(&called, CallOrigin::FirstRun);
     }
-    let lacks_one = RetryOwner::Run(OtherCalls { open: 1, rejected: 0, lost: 0 });
-    let lacks_two = RetryOwner::Run(OtherCalls { open: 0, rejected: 1, lost: 0 });
-    let failed = RetryOwner::Run(OtherCalls { open: 0, rejected: 0, lost: 1 });
+    let lacks_one = RetryInitiator::Run(OtherCalls { open: 1, rejected: 0, lost: 0 });
+    let lacks_two = RetryInitiator::Run(OtherCalls { open: 0, rejected: 1, lost: 0 });
+    let failed = RetryInitiator::Run(OtherCalls { open: 0, rejected: 0, lost: 1 });
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
-    assert!(ledger.bears_calls(ROUTE, 4), "nothing is kept while nobody asks");
+    assert!(ledger.can_afford_calls(ROUTE, 4), "nothing is kept while nobody asks");
     // Eight are saved.
     drop(ledger.take_for(&called, lacks_one).unwrap());
-    assert!(ledger.bears_calls(ROUTE, 1));
-    assert!(!ledger.bears_calls(ROUTE, 2), "six are kept");
+    assert!(ledger.can_afford_calls(ROUTE, 1));
+    assert!(!ledger.can_afford_calls(ROUTE, 2), "six are kept");
     drop(ledger.take_for(&called, lacks_two).unwrap());
     let refusal = ledger.take_for(&called, failed).unwrap_err();
     assert_eq!((refusal.stake, refusal.saved, refusal.most_saved), (None, 6, 8));
@@ -151,9 +151,9 @@
         drop(ledger.take_for(&called, lacks_one).unwrap());
     }
     // Of four, two are kept for runs that lack one call: a quarter of eight, as three were asked for.
-    while ledger.take_for(&called, RetryOwner::Caller { rank: 1 }).is_ok() {}
+    while ledger.take_for(&called, RetryInitiator::Caller { rank: 1 }).is_ok() {}
     let refusal = ledger.take_for(&called, lacks_two).unwrap_err();
-    assert_eq!((refusal.stake, refusal.saved), (Some(RetryStake::RunInDoubt), 1));
+    assert_eq!((refusal.stake, refusal.saved), (Some(RetryPriority::RunInDoubt), 1));
     assert!(ledger.take_for(&called, lacks_one).is_ok());
     assert!(ledger.take_for(&called, lacks_one).is_err(), "the last one is spent");
 }
@@ -163,9 +163,9 @@
     let ledger = ledger(1.0);
     let called = service("ledger");
     for _ in 0..100 {
-        ledger.count_request(&called, CallOrigin::RepeatedRun);
+        ledger.count_request(&called, CallOrigin::RetriedRun);
     }
-    assert!(ledger.take(&called, RepeatKind::RepeatedCall).is_none());
+    assert!(ledger.take(&called, RetryKind::RetriedRunCall).is_none());
 }
 
 #[tokio::test(start_paused = true)]
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -17,8 +17,8 @@
 use super::load_field::LoadListener;
 use super::pool::UpstreamPool;
 use crate::body::{BodyStream, PendingBody};
-use crate::dialect::Dialect;
-use crate::message::{AnswerBody, RequestBody};
+use crate::header_profile::HeaderProfile;
+use crate::message::{RequestBody, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 
 /// Longest head of an answer, in bytes.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub(crate) enum ExchangeEnd {
     /// The back end answered this request, whatever the status.
-    Answered { status: u16, fields: Fields, body: AnswerBody },
+    Answered { status: u16, fields: Fields, body: ResponseBody },
     /// Nothing of the request reached the back end.
     NotSent(NotRunReason),
     /// The back end said that it did not run the request.
@@ -60,7 +60,7 @@
 /// Runs exchanges over a pool.
 pub(crate) struct Exchanger<'a> {
     pub(crate) pool: &'a Arc<UpstreamPool>,
-    pub(crate) dialect: &'a Dialect,
+    pub(crate) header_profile: &'a HeaderProfile,
     /// Told the load field of each answer, before the answer's body is read.
     pub(crate) loads: &'a dyn LoadListener,
 }
@@ -117,7 +117,7 @@
                 (self.own_answer(&mut connection, request).await?, is_sent_whole)
             }
             RequestBody::Pending(pending) => self.with_pending(&mut connection, request, &pending).await?,
-            RequestBody::Spent => return Ok(ExchangeEnd::NotSent(NotRunReason::BodyBroken)),
+            RequestBody::Consumed => return Ok(ExchangeEnd::NotSent(NotRunReason::BodyBroken)),
         };
         self.read_answer(connection, request, head, is_sent_whole).await
     }
@@ -197,24 +197,24 @@
         surplus: &mut u32,
     ) -> Result<(), HeadFailure> {
         *surplus += 1;
-        let names_another = head.fields.get(self.dialect.request_id).is_some();
+        let names_another = head.fields.get(self.header_profile.request_id).is_some();
         if names_another && *surplus <= MAX_SURPLUS && pass_over(reader, head, method).await {
             return Ok(());
         }
-        Err(HeadFailure::Unknown(UnknownReason::AnswerSpoiled))
+        Err(HeadFailure::Unknown(UnknownReason::InvalidResponse))
     }
 
     /// Whether an answer belongs to the request called `id`. A back end that turns a request away need not name it.
     fn is_own(&self, head: &ResponseHead, id: &[u8]) -> bool {
-        match head.fields.get(self.dialect.request_id) {
+        match head.fields.get(self.header_profile.request_id) {
             Some(echoed) => echoed == id,
-            None => !self.dialect.is_echoed || self.is_rejection(head),
+            None => !self.header_profile.echoes_request_id || self.is_rejection(head),
         }
     }
 
     /// Whether the back end says that it did not run the request.
     fn is_rejection(&self, head: &ResponseHead) -> bool {
-        self.dialect.not_executed.is_in(&head.fields) || head.status == MISDIRECTED
+        self.header_profile.not_executed.is_in(&head.fields) || head.status == MISDIRECTED
     }
 
     async fn read_answer(
@@ -224,10 +224,10 @@
         head: ResponseHead,
         is_sent_whole: bool,
     ) -> Result<ExchangeEnd, HeadFailure> {
-        if let Some(load) = head.fields.text(self.dialect.load) {
+        if let Some(load) = head.fields.text(self.header_profile.load) {
             self.loads.on_load_field(load);
         }
-        let spoiled = Ok(ExchangeEnd::Unknown(UnknownReason::AnswerSpoiled));
+        let spoiled = Ok(ExchangeEnd::Unknown(UnknownReason::InvalidResponse));
         let Ok(framing) = response_framing(&head, request.method) else { return spoiled };
         let is_kept = connection.stays_open(&head.fields) && is_sent_whole && framing != Framing::UntilClose;
         if self.is_rejection(&head) {
@@ -243,21 +243,21 @@
         while collected.len() <= MAX_WHOLE_BODY {
             let part = match timeout_at(collect_until, connection.reader.body_part(&mut decoder)).await {
                 Ok(Ok(part)) => part,
-                Ok(Err(_broken)) => return Ok(ExchangeEnd::Unknown(UnknownReason::AnswerCut)),
+                Ok(Err(_broken)) => return Ok(ExchangeEnd::Unknown(UnknownReason::TruncatedResponse)),
                 Err(_elapsed) => break,
             };
             let Some(part) = part else {
                 if is_kept {
                     self.pool.put_back(connection);
                 }
-                let body = AnswerBody::Whole(collected.freeze());
+                let body = ResponseBody::Whole(collected.freeze());
                 return Ok(answered(head, body));
             };
             if decoder.is_done() && collected.is_empty() {
                 if is_kept {
                     self.pool.put_back(connection);
                 }
-                return Ok(answered(head, AnswerBody::Whole(part)));
+                return Ok(answered(head, ResponseBody::Whole(part)));
             }
             collected.extend_from_slice(&part);
         }
@@ -272,13 +272,13 @@
             deadline: request.deadline,
             permit: None,
         };
-        Ok(answered(head, AnswerBody::Upstream(Box::new(body))))
+        Ok(answered(head, ResponseBody::Upstream(Box::new(body))))
     }
 
     /// Whether a success carries the back end's proof, and no encoding that nobody asked for.
     fn is_trusted(&self, head: &ResponseHead) -> bool {
         let is_success = (200..300).contains(&head.status);
-        let is_signed = self.dialect.signature.is_none_or(|name| head.fields.contains(name));
+        let is_signed = self.header_profile.signature.is_none_or(|name| head.fields.contains(name));
         !is_success || (is_signed && !head.fields.contains("content-encoding"))
     }
 
@@ -291,7 +291,7 @@
     }
 }
 
-fn answered(head: ResponseHead, body: AnswerBody) -> ExchangeEnd {
+fn answered(head: ResponseHead, body: ResponseBody) -> ExchangeEnd {
     ExchangeEnd::Answered { status: head.status, fields: head.fields, body }
 }
 
@@ -307,7 +307,7 @@
     use umberpond_http1::HeadError;
     HeadFailure::Unknown(match error {
         HeadError::Truncated | HeadError::Transport(_) => UnknownReason::BackEndClosed,
-        HeadError::Malformed | HeadError::TooLarge | HeadError::TooSlow => UnknownReason::AnswerSpoiled,
+        HeadError::Malformed | HeadError::TooLarge | HeadError::TooSlow => UnknownReason::InvalidResponse,
     })
 }
 
--- a/crates/forwarding/src/upstream/health.rs
+++ b/crates/forwarding/src/upstream/health.rs
@@ -9,8 +9,8 @@
 use umberpond_http1::{Fields, Framing, MessageReader, write_request_head};
 use umberpond_net::Network;
 
-use super::load_field::{SlowdownWord, told_slots, told_slowdown};
-use crate::dialect::Dialect;
+use super::load_field::{ReportedSlowdown, told_slots, told_slowdown};
+use crate::header_profile::HeaderProfile;
 
 /// Longest time of the whole question.
 const QUESTION_TIME: Duration = Duration::from_millis(500);
@@ -27,20 +27,25 @@
     /// How much longer it is cold; zero if it is warm, or doesn't tell.
     pub cold_for: Duration,
     /// How long work takes there at this moment.
-    pub slowdown: SlowdownWord,
+    pub slowdown: ReportedSlowdown,
 }
 
 /// Asks the back end at `address`; absent if it does not say that it is well.
-pub(crate) async fn ask_health(
+pub(crate) async fn probe_health(
     network: &dyn Network,
-    dialect: &Dialect,
+    header_profile: &HeaderProfile,
     address: SocketAddr,
     path: &str,
 ) -> Option<Health> {
-    timeout(QUESTION_TIME, ask(network, dialect, address, path)).await.ok().flatten()
+    timeout(QUESTION_TIME, ask(network, header_profile, address, path)).await.ok().flatten()
 }
 
-async fn ask(network: &dyn Network, dialect: &Dialect, address: SocketAddr, path: &str) -> Option<Health> {
+async fn ask(
+    network: &dyn Network,
+    header_profile: &HeaderProfile,
+    address: SocketAddr,
+    path: &str,
+) -> Option<Health> {
     let stream = network.connect(address).await.ok()?;
     let (reader, mut writer) = tokio::io::split(stream);
     let mut reader = MessageReader::new(reader);
@@ -51,11 +56,11 @@
     write_request_head(&mut question, b"GET", path.as_bytes(), &fields, Framing::Length(0));
     writer.write_all(&question).await.ok()?;
     let head = reader.response_head(MAX_HEAD_BYTES).await.ok()?;
-    let instance = head.fields.text(dialect.instance).map(str::to_owned);
-    let load = head.fields.text(dialect.load);
+    let instance = head.fields.text(header_profile.instance).map(str::to_owned);
+    let load = head.fields.text(header_profile.load);
     let slots = load.and_then(told_slots);
-    let slowdown = load.map_or(SlowdownWord::Untold, told_slowdown);
-    let cold_for = dialect.cold_millis.and_then(|name| head.fields.text(name)).and_then(told_millis);
+    let slowdown = load.map_or(ReportedSlowdown::Unreported, told_slowdown);
+    let cold_for = header_profile.warmup_millis.and_then(|name| head.fields.text(name)).and_then(told_millis);
     let cold_for = cold_for.unwrap_or_default();
     (head.status == 200).then_some(Health { instance, slots, cold_for, slowdown })
 }
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -4,15 +4,15 @@
 
 use std::time::Duration;
 
-use support::back_end::{Act, ok};
+use support::back_end::{ScriptedResponse, ok};
 use support::{SLOTS, World, name, pause};
 use tokio::time::Instant;
 use umberpond_forwarding::{BackEnd, ServerPhase};
-use umberpond_model::BackEndLife;
+use umberpond_model::BackEndProcess;
 
 #[tokio::test(start_paused = true)]
 async fn a_closed_back_end_gets_nothing_more_and_finishes_what_it_holds() {
-    let slow = Act::Answer { status: 200, body: "finished", after: 800 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 800 };
     let world = World::with_routes(vec![vec![slow.clone()]]).await;
     let mut asking = Vec::new();
     for number in 0..4 {
@@ -34,7 +34,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn what_waits_for_a_leaving_back_end_is_sent_to_another() {
-    let slow = Act::Answer { status: 200, body: "a", after: 100 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 100 };
     let world = World::with_routes(vec![vec![slow.clone()], vec![slow]]).await;
     // So that it is known how fast the back ends are.
     for number in 0..6 {
@@ -59,7 +59,7 @@
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let other = BackEnd {
-        life: BackEndLife::of("another"),
+        life: BackEndProcess::of("another"),
         service: name("billing"),
         release: None,
         address,
@@ -75,7 +75,7 @@
     let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     let nowhere = "10.0.0.10:999".parse().unwrap();
     let gone = BackEnd {
-        life: BackEndLife::of("life-10"),
+        life: BackEndProcess::of("life-10"),
         service: name("archive"),
         release: None,
         address: nowhere,
@@ -86,17 +86,17 @@
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/write/a", &format!("r{number}")).await.text(), "b");
     }
-    assert_eq!(unreachable.recv().await, Some(BackEndLife::of("life-10")));
+    assert_eq!(unreachable.recv().await, Some(BackEndProcess::of("life-10")));
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_back_end_tells_its_life_and_its_slots_when_asked() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
-    let health = world.served[0].inbound.ask_health(address, "/well").await.unwrap();
+    let health = world.served[0].inbound.probe_health(address, "/well").await.unwrap();
     assert_eq!((health.instance.as_deref(), health.slots), (Some("life-10"), Some(7)));
     let nowhere = "10.0.0.10:999".parse().unwrap();
-    assert!(world.served[0].inbound.ask_health(nowhere, "/well").await.is_none());
+    assert!(world.served[0].inbound.probe_health(nowhere, "/well").await.is_none());
 }
 
 #[tokio::test(start_paused = true)]
@@ -113,7 +113,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_refusing_node_says_at_once_when_to_come_back_and_finishes_what_is_open() {
-    let slow = Act::Answer { status: 200, body: "finished", after: 900 };
+    let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 900 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut open = world.caller().await;
     open.send("/write/a", "r1").await;
@@ -132,7 +132,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn every_request_has_its_final_answer_before_the_process_ends() {
-    let world = World::with_routes(vec![vec![Act::Silence]]).await;
+    let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
     let mut early = world.caller().await;
     early.send("/write/a", "r1").await;
     pause(50).await;
--- a/crates/forwarding/tests/slowdown.rs
+++ b/crates/forwarding/tests/slowdown.rs
@@ -4,9 +4,9 @@
 
 use std::net::SocketAddr;
 
-use support::back_end::Act;
+use support::back_end::ScriptedResponse;
 use support::{BACK_END_PORT, World, host};
-use umberpond_forwarding::SlowdownWord;
+use umberpond_forwarding::ReportedSlowdown;
 use umberpond_telemetry::Event;
 
 /// Time that the back end takes for a request, in milliseconds. The objective is 500 ms.
@@ -15,8 +15,8 @@
 const USUAL: &str = "umberpond-load: 1,0,2,100\r\nContent-Length: 1\r\n\r\na";
 const SLOW: &str = "umberpond-load: 1,0,2,900\r\nContent-Length: 1\r\n\r\na";
 
-const fn telling(rest: &'static str) -> Act {
-    Act::Slowly { first: BEGINNING, second: rest, after: WORK_MILLIS }
+const fn telling(rest: &'static str) -> ScriptedResponse {
+    ScriptedResponse::Slowly { first: BEGINNING, second: rest, after: WORK_MILLIS }
 }
 
 /// Reads `/read/a` once for each of `count` acts.
@@ -89,19 +89,22 @@
     let inbound = &world.served[0].inbound;
     world.served[0].back_end.set_health_load("1,0,7,250");
     world.served[1].back_end.set_health_load("1,0,7,400");
-    assert_eq!(inbound.ask_health(present, "/well").await.unwrap().slowdown, SlowdownWord::Percent(250));
+    assert_eq!(
+        inbound.probe_health(present, "/well").await.unwrap().slowdown,
+        ReportedSlowdown::Percent(250)
+    );
     assert_eq!(inbound.load().slowdown_percent, 250);
-    assert!(inbound.ask_health(another, "/well").await.is_some());
+    assert!(inbound.probe_health(another, "/well").await.is_some());
     assert_eq!(inbound.load().slowdown_percent, 250);
     world.served[0].back_end.set_health_load("1,0,7");
-    assert!(inbound.ask_health(present, "/well").await.is_some());
+    assert!(inbound.probe_health(present, "/well").await.is_some());
     assert_eq!(inbound.load().slowdown_percent, 250);
 }
 
 /// Each answer is compared with what was expected of it, and what made the difference is told.
 #[tokio::test(start_paused = true)]
 async fn answers_are_counted_by_how_long_they_took_of_the_time_expected() {
-    let slow = Act::Slowly { first: BEGINNING, second: USUAL, after: 8 * WORK_MILLIS };
+    let slow = ScriptedResponse::Slowly { first: BEGINNING, second: USUAL, after: 8 * WORK_MILLIS };
     let world = World::with_routes(vec![[vec![telling(USUAL); 10], vec![slow]].concat()]).await;
     ask(&world, "a", 10).await;
     let has = |line: &str| world.telemetry.metrics().encode().lines().any(|found| found == line);
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -16,10 +16,10 @@
     Destination, Entry, RequestClass, RequestLimits, Route, RouteAccess, RoutePolicy, Service, Snapshot,
 };
 use umberpond_forwarding::{
-    BackEnd, Dialect, Inbound, InboundSettings, Marker, OpenedSecrets, Outbound, OutboundIdentity,
-    OutboundSettings, RoutingTable, ServerControl, serve_inbound, serve_outbound,
+    BackEnd, HeaderMatcher, HeaderProfile, Inbound, InboundSettings, OpenedSecrets, Outbound,
+    OutboundIdentity, OutboundSettings, RoutingTable, ServerControl, serve_inbound, serve_outbound,
 };
-use umberpond_model::{BackEndLife, Locality, Millis, ServiceName, Version};
+use umberpond_model::{BackEndProcess, Locality, Millis, ServiceName, Version};
 use umberpond_net::Network;
 use umberpond_selection::{Endpoint, RetryBudgetSettings};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
@@ -29,10 +29,10 @@
 use caller::Caller;
 
 /// Names like those of a platform with signatures.
-pub const DIALECT: Dialect = Dialect {
+pub const DIALECT: HeaderProfile = HeaderProfile {
     request_id: "umberpond-request",
     call_separator: Some(b'.'),
-    is_echoed: true,
+    echoes_request_id: true,
     caller_key: Some("x-key"),
     deadline_millis: "umberpond-deadline",
     caller: "umberpond-caller-service",
@@ -40,9 +40,9 @@
     tenant: "x-tenant",
     expected_instance: "umberpond-meant-instance",
     instance: "umberpond-serving-instance",
-    not_executed: Marker { name: "umberpond-rejected", value: None },
+    not_executed: HeaderMatcher { name: "umberpond-rejected", value: None },
     load: "umberpond-load",
-    cold_millis: Some("umberpond-cold"),
+    warmup_millis: Some("umberpond-cold"),
     signature: Some("x-proof"),
     marks: None,
 };
@@ -187,7 +187,7 @@
         for script in scripts {
             world.add_node(script, &telemetry).await;
         }
-        world.tell_endpoints();
+        world.publish_endpoints();
         world
     }
 
@@ -213,7 +213,7 @@
         let at = SocketAddr::new(host(number), BACK_END_PORT);
         let back_end = ScriptedBackEnd::start(&network, at, &instance, script).await;
         inbound.open(BackEnd {
-            life: BackEndLife::of(&instance),
+            life: BackEndProcess::of(&instance),
             service: name("archive"),
             release: None,
             address: at,
@@ -235,7 +235,7 @@
     }
 
     /// Tells the callers' node all endpoints.
-    pub fn tell_endpoints(&self) {
+    pub fn publish_endpoints(&self) {
         let endpoints = self.served.iter().map(|served| served.endpoint.clone()).collect();
         self.outbound.set_endpoints(&name::<ServiceName>("archive"), endpoints);
     }
--- a/crates/membership/src/lib.rs
+++ b/crates/membership/src/lib.rs
@@ -19,10 +19,10 @@
 
 pub use digest::{BUCKETS, BucketDigest};
 pub use heartbeat::{
-    Accusation, BucketOrders, ConfigurationWord, Datagram, Echo, Heartbeat, News, SenderWord, SuspectNews,
+    Accusation, BucketOrders, ConfigurationWord, Datagram, Echo, Heartbeat, News, SenderWord, SuspectMessage,
 };
 pub use member::{MemberView, Reachability};
 pub use membership::{Membership, Outgoing};
-pub use note::MembershipNote;
-pub use record::{BackEndRecord, BackEndState, Introduction, MemberPhase, MemberRecord, RecordOrder};
+pub use note::MembershipEvent;
+pub use record::{BackEndRecord, BackEndState, DirectoryEntry, MemberPhase, MemberRecord, RecordOrder};
 pub use settings::MembershipSettings;
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -19,7 +19,7 @@
 use crate::heartbeat::{ConfigurationWord, Datagram, Heartbeat};
 use crate::member::{Member, MemberView, Reachability};
 use crate::neighbours::Zones;
-use crate::note::MembershipNote;
+use crate::note::MembershipEvent;
 use crate::record::{BackEndRecord, BackEndState, MemberPhase, MemberRecord, RecordOrder};
 use crate::settings::MembershipSettings;
 use joining::Joining;
@@ -46,9 +46,9 @@
     load: LoadReport,
     version: Option<Version>,
     /// When the store itself answered this node last.
-    store_heard_at: Option<Instant>,
+    own_store_contact: Option<Instant>,
     /// The latest moment at which any node is known to have heard from the store.
-    store_word_at: Option<Instant>,
+    last_store_contact: Option<Instant>,
     members: BTreeMap<NodeName, Member>,
     /// Names of the members by the random numbers of their processes.
     lives: BTreeMap<u64, NodeName>,
@@ -76,7 +76,7 @@
     last_tick_at: Option<Instant>,
     gossip_next_at: Option<Instant>,
     forget_next_at: Option<Instant>,
-    notes: Vec<MembershipNote>,
+    notes: Vec<MembershipEvent>,
     has_changed: bool,
     /// Whether what has changed concerns requests that are sent now.
     is_urgent: bool,
@@ -93,8 +93,8 @@
             own,
             load: LoadReport::default(),
             version: None,
-            store_heard_at: None,
-            store_word_at: None,
+            own_store_contact: None,
+            last_store_contact: None,
             members: BTreeMap::new(),
             lives: BTreeMap::new(),
             active: BTreeSet::new(),
@@ -192,7 +192,7 @@
     }
 
     /// What was found out since this was asked last.
-    pub fn take_notes(&mut self) -> Vec<MembershipNote> {
+    pub fn take_events(&mut self) -> Vec<MembershipEvent> {
         std::mem::take(&mut self.notes)
     }
 
@@ -214,21 +214,21 @@
     }
 
     /// Takes in that the store itself has answered this node.
-    pub fn on_store_heard(&mut self, now: Instant) {
-        self.store_heard_at = Some(now);
-        self.store_word_at = Some(now);
+    pub fn on_store_response(&mut self, now: Instant) {
+        self.own_store_contact = Some(now);
+        self.last_store_contact = Some(now);
     }
 
     /// When the store itself answered this node last.
     #[must_use]
-    pub const fn store_heard_at(&self) -> Option<Instant> {
-        self.store_heard_at
+    pub const fn own_store_contact(&self) -> Option<Instant> {
+        self.own_store_contact
     }
 
     /// The latest moment at which any node is known here to have heard from the store.
     #[must_use]
-    pub const fn store_word_at(&self) -> Option<Instant> {
-        self.store_word_at
+    pub const fn last_store_contact(&self) -> Option<Instant> {
+        self.last_store_contact
     }
 
     /// Sets what is said of the back end, and tells it at once.
@@ -333,7 +333,7 @@
         self.is_urgent |= is_urgent;
     }
 
-    fn note(&mut self, note: MembershipNote) {
+    fn note(&mut self, note: MembershipEvent) {
         if self.notes.len() < MAX_NOTES {
             self.notes.push(note);
         }
@@ -350,7 +350,7 @@
         now: Instant,
         node: &NodeName,
         to: Option<SocketAddr>,
-        wants_answer: bool,
+        wants_response: bool,
     ) -> Option<Outgoing> {
         let configuration = self.configuration_word(now);
         let digests = self.digests.take_next();
@@ -369,7 +369,7 @@
             digests,
             watch_millis: watch.map_or(0, |watch| millis(watch.interval)),
             accusers: member.accusers_out(),
-            wants_answer,
+            wants_response,
             wants_records: false,
         };
         let to = to.unwrap_or(member.record.control);
@@ -388,14 +388,14 @@
             digests: self.digests.take_next(),
             watch_millis: 0,
             accusers: Vec::new(),
-            wants_answer: true,
+            wants_response: true,
             wants_records,
         };
         Outgoing { to, datagram: Datagram::Heartbeat(Box::new(heartbeat)) }
     }
 
     fn configuration_word(&self, now: Instant) -> ConfigurationWord {
-        let age = self.store_word_at.map(|at| now.saturating_duration_since(at).as_millis());
+        let age = self.last_store_contact.map(|at| now.saturating_duration_since(at).as_millis());
         ConfigurationWord {
             version: self.version,
             store_age_millis: age.map(|millis| u32::try_from(millis).unwrap_or(u32::MAX)),
--- a/crates/membership/src/membership/joining.rs
+++ b/crates/membership/src/membership/joining.rs
@@ -8,7 +8,7 @@
 use umberpond_model::{Locality, NodeName};
 
 use super::{Membership, Outgoing};
-use crate::record::Introduction;
+use crate::record::DirectoryEntry;
 
 /// A node that the store names and that is not known otherwise.
 #[derive(Debug)]
@@ -64,8 +64,8 @@
 
 impl Membership {
     /// Takes in nodes that the store names.
-    pub fn on_introductions(&mut self, now: Instant, introductions: Vec<Introduction>) {
-        for Introduction { node, control, locality } in introductions {
+    pub fn on_directory_entries(&mut self, now: Instant, introductions: Vec<DirectoryEntry>) {
+        for DirectoryEntry { node, control, locality } in introductions {
             if node == self.own.node || self.members.contains_key(&node) {
                 continue;
             }
@@ -77,12 +77,12 @@
 
     /// Count of the nodes that the store has named and that are not known otherwise, until they are given up.
     #[must_use]
-    pub fn unmet_count(&self) -> usize {
+    pub fn candidate_count(&self) -> usize {
         self.joining.strangers.len()
     }
 
     /// Nodes that the store has just named and that are not known otherwise: most of them will be met.
-    pub fn expected_strangers(&self, now: Instant) -> impl Iterator<Item = &NodeName> {
+    pub fn expected_candidates(&self, now: Instant) -> impl Iterator<Item = &NodeName> {
         let strangers = self.joining.strangers.iter();
         let expected = strangers
             .filter(move |(_, stranger)| now.saturating_duration_since(stranger.known_since) < EXPECTED_FOR);
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -10,7 +10,7 @@
 use crate::digest::{BucketDigest, bucket_of};
 use crate::heartbeat::{Accusation, BucketOrders, Datagram, Heartbeat, News, SenderWord};
 use crate::member::{Member, Reachability};
-use crate::note::MembershipNote;
+use crate::note::MembershipEvent;
 use crate::record::{MemberPhase, MemberRecord, RecordOrder};
 
 /// Time for which digests have to differ before records are asked for: news are on their way for less.
@@ -102,7 +102,7 @@
         let is_unproved =
             member.watch().is_some() && member.own_finding(now) != Some(Reachability::Reachable);
         let is_answered = (is_unproved || is_out) && member.may_send_again(now);
-        if heartbeat.wants_answer || is_answered {
+        if heartbeat.wants_response || is_answered {
             outgoing.extend(self.heartbeat_to(now, node, Some(from), is_unproved && is_answered));
         }
         outgoing
@@ -220,7 +220,7 @@
     fn on_store_word(&mut self, now: Instant, heartbeat: &Heartbeat) {
         let age = heartbeat.configuration.store_age_millis.map(u64::from).map(Duration::from_millis);
         let word_at = age.and_then(|age| now.checked_sub(age));
-        self.store_word_at = self.store_word_at.max(word_at);
+        self.last_store_contact = self.last_store_contact.max(word_at);
     }
 
     /// Takes in that the sender leaves this node out, and by whose findings.
@@ -252,7 +252,7 @@
         if accusers > 0 {
             self.suspects.remove(&node);
             self.are_zones_stale = true;
-            self.note(MembershipNote::LeftOut { node: node.clone(), accusers, known_for });
+            self.note(MembershipEvent::NodeExcluded { node: node.clone(), accusers, known_for });
         } else {
             self.suspects.insert(node.clone());
         }
@@ -270,7 +270,7 @@
         if self.own_accusers.len() < self.settings.accusers_needed {
             return Vec::new();
         }
-        self.note(MembershipNote::Refuted { sequence: self.own.sequence + 1 });
+        self.note(MembershipEvent::Refuted { sequence: self.own.sequence + 1 });
         self.change_own(now)
     }
 
@@ -293,7 +293,7 @@
         }
         *asked_at = Some(now);
         let bucket = digest.bucket;
-        self.note(MembershipNote::RepairAsked { bucket, differs_for });
+        self.note(MembershipEvent::RepairRequested { bucket, differs_for });
         let orders = BucketOrders { bucket, orders: self.orders_in(bucket) };
         vec![Outgoing { to, datagram: Datagram::Orders(orders) }]
     }
--- a/crates/membership/src/membership/spread.rs
+++ b/crates/membership/src/membership/spread.rs
@@ -148,18 +148,18 @@
 
     /// Whether what concerns all nodes is told to all of them by whoever finds it.
     #[must_use]
-    pub fn tells_all(&self) -> bool {
+    pub fn broadcasts_to_all(&self) -> bool {
         self.is_full_mesh()
     }
 
     /// Addresses of the nodes that are told at once what concerns all nodes: all, or some that pass it on.
     pub fn audience(&mut self) -> Vec<SocketAddr> {
-        let count = if self.tells_all() { usize::MAX } else { self.settings.news_fanout };
-        self.draw_reachable(count)
+        let count = if self.broadcasts_to_all() { usize::MAX } else { self.settings.news_fanout };
+        self.sample_reachable(count)
     }
 
     /// Addresses of up to `count` nodes that can be reached, drawn at random.
-    pub fn draw_reachable(&mut self, count: usize) -> Vec<SocketAddr> {
+    pub fn sample_reachable(&mut self, count: usize) -> Vec<SocketAddr> {
         let reachable = self.members.values().filter(|member| member.reachability == Reachability::Reachable);
         let addresses = reachable.map(|member| member.record.control);
         addresses.sample(&mut self.random, count)
@@ -179,7 +179,7 @@
         let near = self.zones.near.iter().filter(is_behind);
         let mut told: Vec<NodeName> =
             near.sample(&mut self.random, self.settings.news_fanout).into_iter().cloned().collect();
-        let has_read = self.store_heard_at.is_some_and(|at| now.saturating_duration_since(at) < IS_READER);
+        let has_read = self.own_store_contact.is_some_and(|at| now.saturating_duration_since(at) < IS_READER);
         let chance = self.relay_chance();
         for nodes in self.zones.far.values() {
             let is_told = has_read || self.random.random_bool(chance);
--- a/crates/membership/src/note.rs
+++ b/crates/membership/src/note.rs
@@ -6,16 +6,16 @@
 
 /// One change of what this node believes.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum MembershipNote {
+pub enum MembershipEvent {
     /// This node finds a neighbour silent, and tells others.
-    FoundSilent {
+    NeighbourSilent {
         /// The neighbour.
         node: NodeName,
         /// Time since it was heard last, or else since it became known.
         silent_for: Duration,
     },
     /// Enough neighbours of a node have found it silent: it is left out.
-    LeftOut {
+    NodeExcluded {
         /// The node.
         node: NodeName,
         /// How many of its neighbours.
@@ -29,7 +29,7 @@
         sequence: u64,
     },
     /// Nothing passes between this node and a zone any more.
-    ZoneCut {
+    ZoneUnreachable {
         /// The zone.
         locality: Locality,
         /// How many of its nodes were looked at in vain.
@@ -46,7 +46,7 @@
         stalled_for: Duration,
     },
     /// Records were missed and are asked for.
-    RepairAsked {
+    RepairRequested {
         /// The bucket that differs.
         bucket: u8,
         /// For how long it has differed.
--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -6,7 +6,7 @@
 
 use support::{World, back_end};
 use umberpond_membership::{
-    Accusation, BackEndState, Datagram, MemberPhase, MembershipNote, News, Outgoing, Reachability,
+    Accusation, BackEndState, Datagram, MemberPhase, MembershipEvent, News, Outgoing, Reachability,
 };
 use umberpond_model::Version;
 
@@ -116,8 +116,8 @@
     world.loss = 0.05;
     world.run_millis(6_000);
     world.loss = 0.0;
-    let notes = world.take_notes();
-    let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipNote::LeftOut { .. }));
+    let notes = world.take_events();
+    let left_out = notes.iter().filter(|(_, note)| matches!(note, MembershipEvent::NodeExcluded { .. }));
     assert_eq!(left_out.count(), 0);
 }
 
@@ -139,14 +139,14 @@
     world.frozen.insert(7);
     world.run_millis(5_000);
     assert_eq!(reaching(&world, 7), 0);
-    world.take_notes();
+    world.take_events();
     world.frozen.remove(&7);
     world.run_millis(1_000);
     assert_eq!(reaching(&world, 7), NODES - 1);
     assert!(world.nodes.keys().filter(|to| **to != 7).all(|to| world.reaches(7, *to)));
-    let notes = world.take_notes();
+    let notes = world.take_events();
     let by_it = notes.iter().filter(|(number, _)| *number == 7).map(|(_, note)| note);
-    let accused = by_it.filter(|note| matches!(note, MembershipNote::FoundSilent { .. }));
+    let accused = by_it.filter(|note| matches!(note, MembershipEvent::NeighbourSilent { .. }));
     assert_eq!(accused.count(), 0, "it was this node that did not run");
 }
 
@@ -258,7 +258,7 @@
 fn a_version_is_told_to_a_few_at_once_and_reaches_all_within_a_second() {
     let mut world = settled(17, NODES);
     world.tell(4, |membership, now| {
-        membership.on_store_heard(now);
+        membership.on_store_response(now);
         let outgoing = membership.set_version(now, Version(9));
         assert!(outgoing.len() <= 11, "{}", outgoing.len());
         outgoing
@@ -283,7 +283,7 @@
     for round in 0..80 {
         if round % 7 == 0 {
             world.tell(11, |membership, now| {
-                membership.on_store_heard(now);
+                membership.on_store_response(now);
                 Vec::<Outgoing>::new()
             });
         }
@@ -292,7 +292,7 @@
             continue;
         }
         for membership in world.nodes.values() {
-            let age = world.now.saturating_duration_since(membership.store_word_at().unwrap());
+            let age = world.now.saturating_duration_since(membership.last_store_contact().unwrap());
             oldest = oldest.max(age);
         }
     }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -9,8 +9,8 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberpond_membership::{
-    BackEndRecord, BackEndState, Datagram, Introduction, MemberPhase, MemberRecord, MemberView, Membership,
-    MembershipNote, MembershipSettings, Outgoing,
+    BackEndRecord, BackEndState, Datagram, DirectoryEntry, MemberPhase, MemberRecord, MemberView, Membership,
+    MembershipEvent, MembershipSettings, Outgoing,
 };
 use umberpond_model::{Evacuations, Incarnation, Locality, NodeName, Version};
 
@@ -90,7 +90,7 @@
     pub bytes: u64,
     pub bytes_between_zones: u64,
     pub bytes_by_kind: BTreeMap<&'static str, u64>,
-    notes: Vec<(usize, MembershipNote)>,
+    notes: Vec<(usize, MembershipEvent)>,
     lives: u64,
     zones: usize,
     /// Nodes whose processes do not run for now; what is sent to them waits.
@@ -173,13 +173,13 @@
     }
 
     pub fn introduce(&mut self, number: usize, others: impl IntoIterator<Item = usize>) {
-        let introductions = others.into_iter().map(|other| Introduction {
+        let introductions = others.into_iter().map(|other| DirectoryEntry {
             node: node(other),
             control: address(other),
             locality: Some(locality(other, self.zones)),
         });
         let now = self.now;
-        self.nodes.get_mut(&number).unwrap().on_introductions(now, introductions.collect());
+        self.nodes.get_mut(&number).unwrap().on_directory_entries(now, introductions.collect());
     }
 
     /// Lets a node say something at once.
@@ -251,9 +251,9 @@
     }
 
     /// What the nodes have found out since this was asked last.
-    pub fn take_notes(&mut self) -> Vec<(usize, MembershipNote)> {
+    pub fn take_events(&mut self) -> Vec<(usize, MembershipEvent)> {
         for (number, membership) in &mut self.nodes {
-            self.notes.extend(membership.take_notes().into_iter().map(|note| (*number, note)));
+            self.notes.extend(membership.take_events().into_iter().map(|note| (*number, note)));
         }
         std::mem::take(&mut self.notes)
     }
@@ -270,8 +270,8 @@
     }
 
     fn heard_lately(&self, number: usize) -> Vec<usize> {
-        let is_recent = |heard_at: Instant| self.now - heard_at < Duration::from_millis(300);
-        let heard = self.nodes[&number].members().filter(|member| member.heard_at.is_some_and(is_recent));
+        let is_recent = |last_seen_at: Instant| self.now - last_seen_at < Duration::from_millis(300);
+        let heard = self.nodes[&number].members().filter(|member| member.last_seen_at.is_some_and(is_recent));
         heard.map(|member| number_at(member.record.control)).collect()
     }
 
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -6,7 +6,7 @@
 use crate::finding::{CrashId, Finding, SuspectRecord};
 use crate::fingerprint::{RequestFingerprint, RequestKey};
 use crate::settings::QuarantineSettings;
-use crate::standing::Standing;
+use crate::standing::SuspicionLevel;
 use crate::suspect::Suspect;
 
 /// Ends from which on a fingerprint is told again to nodes that may have missed it. A single one is told once: most of those are of requests that ran beside.
@@ -14,11 +14,11 @@
 
 /// What came of joining what another node knows.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Joined {
+pub struct MergeOutcome {
     /// Fingerprints of which something is new here.
     pub changed: Vec<RequestFingerprint>,
     /// Fingerprints of which more is known here than was told.
-    pub known_better: Vec<RequestFingerprint>,
+    pub sender_outdated: Vec<RequestFingerprint>,
 }
 
 /// The findings about requests that may end back ends. Two ledgers that have heard the same, in whatever order, hold the same.
@@ -43,39 +43,40 @@
 
     /// How a request is treated.
     #[must_use]
-    pub fn standing(&self, now: Instant, key: &RequestKey) -> Standing {
+    pub fn standing(&self, now: Instant, key: &RequestKey) -> SuspicionLevel {
         let standings = key.fingerprints().into_iter().map(|fingerprint| self.standing_of(now, &fingerprint));
-        standings.max().unwrap_or(Standing::Clear)
+        standings.max().unwrap_or(SuspicionLevel::Clear)
     }
 
     /// How whatever has this fingerprint is treated.
     #[must_use]
-    pub fn standing_of(&self, now: Instant, fingerprint: &RequestFingerprint) -> Standing {
-        let Some(suspect) = self.suspects.get(fingerprint) else { return Standing::Clear };
+    pub fn standing_of(&self, now: Instant, fingerprint: &RequestFingerprint) -> SuspicionLevel {
+        let Some(suspect) = self.suspects.get(fingerprint) else { return SuspicionLevel::Clear };
         let crashes = suspect.crashes();
         if crashes == 0 || self.is_over(now, suspect.blamed_at) {
-            return Standing::Clear;
+            return SuspicionLevel::Clear;
         }
         if crashes >= self.settings.crashes {
-            return Standing::Quarantined;
+            return SuspicionLevel::Quarantined;
         }
         if crashes + 1 < self.settings.crashes {
-            return Standing::Suspected;
+            return SuspicionLevel::Suspected;
         }
         let left = self.settings.pause.saturating_sub(now.saturating_duration_since(suspect.blamed_at));
-        if left.is_zero() { Standing::Alone } else { Standing::Paused(left) }
+        if left.is_zero() { SuspicionLevel::Isolated } else { SuspicionLevel::Paused(left) }
     }
 
     /// Ends that a request is blamed for.
     #[must_use]
     pub fn crashes(&self, key: &RequestKey) -> usize {
-        let crashes = key.fingerprints().into_iter().map(|fingerprint| self.crashes_of(&fingerprint));
+        let crashes =
+            key.fingerprints().into_iter().map(|fingerprint| self.fingerprint_crash_count(&fingerprint));
         crashes.max().unwrap_or(0)
     }
 
     /// Ends that whatever has this fingerprint is blamed for.
     #[must_use]
-    pub fn crashes_of(&self, fingerprint: &RequestFingerprint) -> usize {
+    pub fn fingerprint_crash_count(&self, fingerprint: &RequestFingerprint) -> usize {
         self.suspects.get(fingerprint).map_or(0, Suspect::crashes)
     }
 
@@ -112,8 +113,8 @@
     }
 
     /// Joins what another node, or the store, tells.
-    pub fn join(&mut self, now: Instant, records: &[SuspectRecord]) -> Joined {
-        let mut joined = Joined::default();
+    pub fn join(&mut self, now: Instant, records: &[SuspectRecord]) -> MergeOutcome {
+        let mut joined = MergeOutcome::default();
         for record in records {
             let age = Duration::from_millis(u64::from(record.age_millis));
             let blamed_at = now.checked_sub(age).unwrap_or(now);
@@ -122,7 +123,7 @@
             }
             let known = self.suspects.get(&record.fingerprint);
             if known.is_some_and(|suspect| suspect.knows_more_than(&record.findings)) {
-                joined.known_better.push(record.fingerprint);
+                joined.sender_outdated.push(record.fingerprint);
             }
             if known.is_some_and(|suspect| suspect.knows(&record.findings)) {
                 continue;
@@ -174,7 +175,7 @@
         let refused = self
             .suspects
             .iter()
-            .filter(|(fingerprint, _)| self.standing_of(now, fingerprint) == Standing::Quarantined);
+            .filter(|(fingerprint, _)| self.standing_of(now, fingerprint) == SuspicionLevel::Quarantined);
         refused.map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
--- a/crates/quotas/tests/support/mod.rs
+++ b/crates/quotas/tests/support/mod.rs
@@ -7,9 +7,9 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberpond_config::{KeyHash, Quota, Tenant};
-use umberpond_model::{HomeRegions, RequestRate, TenantName, TenantNumber};
+use umberpond_model::{HomeRegions, RequestRate, TenantId, TenantName};
 use umberpond_quotas::{
-    LONGEST_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenAnswer,
+    MAX_TOKEN_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
     TokenPool, quotas_of,
 };
 
@@ -28,14 +28,14 @@
     }
 }
 
-pub fn number(name: &str) -> TenantNumber {
-    TenantNumber::of(&TenantName::new(name).expect("a name"))
+pub fn number(name: &str) -> TenantId {
+    TenantId::of(&TenantName::new(name).expect("a name"))
 }
 
 struct Node {
     sharing: Box<dyn QuotaSharing>,
     pool: TokenPool,
-    waiting: HashMap<TenantNumber, Vec<Instant>>,
+    waiting: HashMap<TenantId, Vec<Instant>>,
     next_pool: usize,
     is_running: bool,
     /// Whether something has come that lets the node report before its next look.
@@ -89,8 +89,8 @@
     /// Nodes that only reach one another.
     pub cut: Vec<usize>,
     /// When requests of each tenant were let through.
-    pub granted: HashMap<TenantNumber, Vec<Instant>>,
-    pub refused: HashMap<TenantNumber, u32>,
+    pub granted: HashMap<TenantId, Vec<Instant>>,
+    pub refused: HashMap<TenantId, u32>,
     pub reports: u64,
 }
 
@@ -161,16 +161,16 @@
     }
 
     /// A request enters at a node.
-    pub fn request(&mut self, index: usize, tenant: TenantNumber) {
+    pub fn request(&mut self, index: usize, tenant: TenantId) {
         let (now, node) = (self.now, &mut self.nodes[index]);
         if !node.is_running {
             return;
         }
         node.sharing.on_request(now, tenant);
         match node.sharing.take(now, tenant) {
-            TokenAnswer::Granted { .. } => self.granted.entry(tenant).or_default().push(now),
-            TokenAnswer::Refused => *self.refused.entry(tenant).or_default() += 1,
-            TokenAnswer::Ask => {
+            TokenDecision::Granted { .. } => self.granted.entry(tenant).or_default().push(now),
+            TokenDecision::Refused => *self.refused.entry(tenant).or_default() += 1,
+            TokenDecision::Ask => {
                 node.waiting.entry(tenant).or_default().push(now);
                 node.is_told = true;
             }
@@ -223,7 +223,7 @@
     }
 
     fn tell_waiting(&mut self, index: usize) {
-        let longest_wait = if self.network.is_some() { LONGEST_WAIT } else { SHORT_WAIT };
+        let longest_wait = if self.network.is_some() { MAX_TOKEN_WAIT } else { SHORT_WAIT };
         let (now, node) = (self.now, &mut self.nodes[index]);
         if !node.is_running {
             return;
@@ -232,9 +232,11 @@
             let mut still = Vec::new();
             for since in waiting.drain(..) {
                 match node.sharing.take(now, *tenant) {
-                    TokenAnswer::Granted { .. } => self.granted.entry(*tenant).or_default().push(now),
-                    TokenAnswer::Ask if now - since < longest_wait => still.push(since),
-                    TokenAnswer::Ask | TokenAnswer::Refused => *self.refused.entry(*tenant).or_default() += 1,
+                    TokenDecision::Granted { .. } => self.granted.entry(*tenant).or_default().push(now),
+                    TokenDecision::Ask if now - since < longest_wait => still.push(since),
+                    TokenDecision::Ask | TokenDecision::Refused => {
+                        *self.refused.entry(*tenant).or_default() += 1
+                    }
                 }
             }
             *waiting = still;
@@ -268,7 +270,7 @@
     }
 
     /// Most requests of a tenant that were let through within `window`.
-    pub fn most_within(&self, tenant: TenantNumber, window: Duration) -> usize {
+    pub fn most_within(&self, tenant: TenantId, window: Duration) -> usize {
         let granted = self.granted.get(&tenant).map_or(&[][..], Vec::as_slice);
         let mut first = 0;
         let mut most = 0;
@@ -282,7 +284,7 @@
     }
 
     /// Requests of a tenant that were let through in the `window` from `start` on.
-    pub fn granted_between(&self, tenant: TenantNumber, start: Instant, window: Duration) -> usize {
+    pub fn granted_between(&self, tenant: TenantId, start: Instant, window: Duration) -> usize {
         let granted = self.granted.get(&tenant).map_or(&[][..], Vec::as_slice);
         granted.iter().filter(|at| **at >= start && **at < start + window).count()
     }
@@ -292,11 +294,11 @@
         self.nodes.iter().map(|node| node.sharing.expired_tokens()).sum()
     }
 
-    pub fn granted_of(&self, tenant: TenantNumber) -> usize {
+    pub fn granted_of(&self, tenant: TenantId) -> usize {
         self.granted.get(&tenant).map_or(0, Vec::len)
     }
 
-    pub fn refused_of(&self, tenant: TenantNumber) -> u32 {
+    pub fn refused_of(&self, tenant: TenantId) -> u32 {
         self.refused.get(&tenant).copied().unwrap_or(0)
     }
 }
--- a/crates/scheduling/src/call_outlook.rs
+++ b/crates/scheduling/src/call_outlook.rs
@@ -27,7 +27,7 @@
 
 /// How a call ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// It may have run.
     Run,
     /// It was refused for want of room.
@@ -38,7 +38,7 @@
 
 /// A run that is about to begin.
 #[derive(Debug, Clone, Copy)]
-pub struct RunPlan<'a> {
+pub struct PendingRun<'a> {
     /// Its route, by the hash of the name.
     pub route: u32,
     /// Its rank, which its calls take over.
@@ -70,7 +70,7 @@
 }
 
 impl Treatment {
-    fn record(&mut self, now: Instant, end: CallEnd) {
+    fn record(&mut self, now: Instant, end: CallOutcome) {
         let kept = self.kept(now);
         for count in [&mut self.calls, &mut self.no_room, &mut self.refused] {
             *count *= kept;
@@ -78,9 +78,9 @@
         self.told_at = Some(now);
         self.calls += 1.0;
         match end {
-            CallEnd::Run => {}
-            CallEnd::NoRoom => self.no_room += 1.0,
-            CallEnd::Refused => self.refused += 1.0,
+            CallOutcome::Run => {}
+            CallOutcome::NoRoom => self.no_room += 1.0,
+            CallOutcome::Refused => self.refused += 1.0,
         }
     }
 
@@ -123,13 +123,13 @@
 
 /// How the calls of the runs at one back end fare.
 #[derive(Debug, Default)]
-pub struct CallOutlook {
+pub struct CallFailureEstimator {
     /// By called service, and rank and band of levels of the run.
     treatments: BTreeMap<(ServiceName, u8, usize), Treatment>,
     routes: BTreeMap<u32, RouteRuns>,
 }
 
-impl CallOutlook {
+impl CallFailureEstimator {
     /// Takes in how a call to `service` ended that a run of `rank` and `level` made.
     pub fn record_call(
         &mut self,
@@ -137,7 +137,7 @@
         service: &ServiceName,
         rank: u8,
         level: CallLevel,
-        end: CallEnd,
+        end: CallOutcome,
     ) {
         self.treatments.entry((service.clone(), rank, level.band())).or_default().record(now, end);
     }
@@ -153,7 +153,7 @@
     ///
     /// # Errors
     /// Returns [`RunRefusal`] if it is better refused.
-    pub fn begin_run(&mut self, now: Instant, plan: &RunPlan<'_>) -> Result<(), RunRefusal> {
+    pub fn begin_run(&mut self, now: Instant, plan: &PendingRun<'_>) -> Result<(), RunRefusal> {
         let prospect = self.prospect(now, plan);
         let share = prospect.refused_share();
         let runs = self.routes.entry(plan.route).or_default();
@@ -167,7 +167,7 @@
         Err(RunRefusal { called, failing: prospect.for_any, come_back: HALF_LIFE.mul_f64(share) })
     }
 
-    fn prospect(&self, now: Instant, plan: &RunPlan<'_>) -> Prospect {
+    fn prospect(&self, now: Instant, plan: &PendingRun<'_>) -> Prospect {
         let (mut gets_room, mut gets_all) = (1.0, 1.0);
         for (service, count) in plan.calls {
             let (no_room, any) = self.shares(now, service, plan);
@@ -179,13 +179,13 @@
         Prospect { for_room: calling * (1.0 - gets_room), for_any: calling * (1.0 - gets_all) }
     }
 
-    fn most_refusing(&self, now: Instant, plan: &RunPlan<'_>) -> Option<ServiceName> {
+    fn most_refusing(&self, now: Instant, plan: &PendingRun<'_>) -> Option<ServiceName> {
         let refused = |service: &ServiceName| self.shares(now, service, plan).1;
         let services = plan.calls.iter().map(|(service, _)| service);
         services.max_by(|one, other| refused(one).total_cmp(&refused(other))).cloned()
     }
 
-    fn shares(&self, now: Instant, service: &ServiceName, plan: &RunPlan<'_>) -> (f64, f64) {
+    fn shares(&self, now: Instant, service: &ServiceName, plan: &PendingRun<'_>) -> (f64, f64) {
         let treatment = self.treatments.get(&(service.clone(), plan.rank, plan.level.band()));
         treatment.map_or((0.0, 0.0), |treatment| treatment.shares(now))
     }
