--- a/crates/scheduling/src/cold_pace.rs
+++ b/crates/scheduling/src/cold_start_limiter.rs
@@ -16,7 +16,7 @@
 ///
 /// What an earlier process of the node may have handed over in the last second counts: a pace begins with its second used up.
 #[derive(Debug, Default)]
-pub struct ColdPace {
+pub struct ColdStartLimiter {
     /// Requests that may start within [`SPAN`]; absent if the service names no rate.
     limit: Option<usize>,
     /// When the latest requests have started, as many as the limit.
@@ -28,7 +28,7 @@
     since_question: Option<usize>,
 }
 
-impl ColdPace {
+impl ColdStartLimiter {
     /// Sets the rate of the service.
     pub fn set_rate(&mut self, now: Instant, rate: Option<RequestRate>) {
         let limit = rate.map(|rate| usize::try_from(rate.whole()).unwrap_or(usize::MAX));
@@ -61,7 +61,7 @@
     }
 
     /// Takes in that the back end is asked now whether it is warm.
-    pub const fn on_question(&mut self) {
+    pub const fn on_warmth_probe_sent(&mut self) {
         self.since_question = Some(0);
     }
 
@@ -74,13 +74,13 @@
     }
 
     /// Takes in that the open question came to nothing.
-    pub const fn on_no_answer(&mut self) {
+    pub const fn on_warmth_probe_failed(&mut self) {
         self.since_question = None;
     }
 
     /// Whether the back end should be asked now whether it is warm.
     #[must_use]
-    pub fn wants_word(&self, now: Instant) -> bool {
+    pub fn needs_warmth_probe(&self, now: Instant) -> bool {
         let Some(limit) = self.limit else { return false };
         // Asked at half, the answer is there before the rest is used up.
         self.since_question.is_none() && !self.is_cold(now) && self.unconfirmed * 2 >= limit
--- a/crates/scheduling/src/decision.rs
+++ b/crates/scheduling/src/decision.rs
@@ -22,7 +22,7 @@
     },
     /// The back end is slow at this moment: the answer would be late, but need not be elsewhere.
     #[error("the back end is slow at this moment")]
-    Slowed {
+    BackEndSlow {
         /// Time until the answer that was expected.
         expected: Duration,
     },
@@ -37,7 +37,7 @@
     },
     /// It has waited for as long as its sender lets it.
     #[error("it has waited for as long as it may")]
-    HeldTooLong,
+    QueueTimeout,
     /// The deadline passed while the request waited.
     #[error("the deadline passed in the queue")]
     Expired,
@@ -56,7 +56,7 @@
 
 /// A waiting request that leaves the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Started {
+pub enum Dequeued {
     /// It has a slot now.
     Run(Ticket),
     /// Its deadline has passed; it has not run.
--- a/crates/scheduling/src/fair_shares.rs
+++ b/crates/scheduling/src/fair_shares.rs
@@ -7,7 +7,7 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::WorkItem;
 use crate::load::permille;
@@ -24,9 +24,9 @@
 
 /// How one tenant stands at one back end, for logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TenantStanding {
+pub struct TenantUsage {
     /// The tenant.
-    pub tenant: TenantNumber,
+    pub tenant: TenantId,
     /// Its part of the slot time that tenants took lately while others waited, in thousandths.
     pub use_permille: u16,
     /// An equal part for each tenant that was active lately, in thousandths.
@@ -34,7 +34,7 @@
     /// Slot time by which it is ahead of a tenant with exactly its share.
     pub ahead: Duration,
     /// Whether that is more than a quantum, so that others go first.
-    pub is_above: bool,
+    pub is_over_share: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -101,7 +101,7 @@
 /// What the tenants of one back end have taken since nobody had to wait last.
 #[derive(Debug, Default)]
 pub(crate) struct FairShares {
-    tenants: BTreeMap<TenantNumber, TenantUse>,
+    tenants: BTreeMap<TenantId, TenantUse>,
     virtual_time: Duration,
     advanced_at: Option<Instant>,
     pruned_at: Option<Instant>,
@@ -140,7 +140,7 @@
     }
 
     /// Takes in that a request of `tenant` waits.
-    pub(crate) fn on_wait(&mut self, now: Instant, tenant: TenantNumber) {
+    pub(crate) fn on_wait(&mut self, now: Instant, tenant: TenantId) {
         let virtual_time = self.virtual_time;
         let entry = self.tenants.entry(tenant).or_insert_with(|| TenantUse::new(now, virtual_time));
         if entry.waiting == 0 {
@@ -151,20 +151,14 @@
     }
 
     /// Takes in that a request of `tenant` waits no more.
-    pub(crate) fn on_leave(&mut self, tenant: TenantNumber) {
+    pub(crate) fn on_leave(&mut self, tenant: TenantId) {
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.waiting = entry.waiting.saturating_sub(1);
         }
     }
 
     /// Takes in that a request of `tenant` that has waited starts and is expected to take `service`.
-    pub(crate) fn on_start(
-        &mut self,
-        now: Instant,
-        tenant: TenantNumber,
-        service: Duration,
-        quantum: Duration,
-    ) {
+    pub(crate) fn on_start(&mut self, now: Instant, tenant: TenantId, service: Duration, quantum: Duration) {
         // Nobody who is less far ahead waits, so less than a quantum is left of its lead.
         let lead = self.lead(tenant, Duration::ZERO);
         let quanta = quanta(lead, quantum).saturating_sub(1);
@@ -176,7 +170,7 @@
     }
 
     /// Takes in that a request of `tenant` has left its slot after `held`.
-    pub(crate) fn settle(&mut self, tenant: TenantNumber, held: Duration) {
+    pub(crate) fn settle(&mut self, tenant: TenantId, held: Duration) {
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.settle(held);
         }
@@ -231,27 +225,22 @@
 
     /// Whether `item` goes behind others because its tenant is more than a quantum ahead of its share. The share of one that is alone is
     /// everything.
-    pub(crate) fn is_above(&self, item: &WorkItem, quantum: Duration) -> bool {
+    pub(crate) fn is_over_share(&self, item: &WorkItem, quantum: Duration) -> bool {
         self.tenants.len() > 1 && self.quanta_ahead(item, Duration::ZERO, quantum) > 0
     }
 
     /// How a tenant stands; absent if it has not waited of late.
-    pub(crate) fn standing(
-        &self,
-        now: Instant,
-        tenant: TenantNumber,
-        quantum: Duration,
-    ) -> Option<TenantStanding> {
+    pub(crate) fn standing(&self, now: Instant, tenant: TenantId, quantum: Duration) -> Option<TenantUsage> {
         let entry = self.tenants.get(&tenant)?;
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
         Some(self.standing_of(now, tenant, entry, total, quantum))
     }
 
     /// The `count` tenants that took most lately, the greatest first.
-    pub(crate) fn greatest(&self, now: Instant, count: usize, quantum: Duration) -> Vec<TenantStanding> {
+    pub(crate) fn greatest(&self, now: Instant, count: usize, quantum: Duration) -> Vec<TenantUsage> {
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
         let tenants = self.tenants.iter();
-        let mut standings: Vec<TenantStanding> =
+        let mut standings: Vec<TenantUsage> =
             tenants.map(|(tenant, entry)| self.standing_of(now, *tenant, entry, total, quantum)).collect();
         standings.sort_by_key(|standing| (std::cmp::Reverse(standing.use_permille), standing.tenant));
         standings.truncate(count);
@@ -261,24 +250,24 @@
     fn standing_of(
         &self,
         now: Instant,
-        tenant: TenantNumber,
+        tenant: TenantId,
         entry: &TenantUse,
         total: f64,
         quantum: Duration,
-    ) -> TenantStanding {
+    ) -> TenantUsage {
         let used = if total > 0.0 { entry.recent_seconds(now) / total } else { 0.0 };
         let ahead = entry.virtual_start.saturating_sub(self.virtual_time);
-        TenantStanding {
+        TenantUsage {
             tenant,
             use_permille: permille(used),
             share_permille: u16::try_from(1000 / self.tenants.len().max(1)).unwrap_or(u16::MAX),
             ahead,
-            is_above: self.tenants.len() > 1 && quanta(ahead, quantum) > 0,
+            is_over_share: self.tenants.len() > 1 && quanta(ahead, quantum) > 0,
         }
     }
 
     /// Slot time by which a tenant is ahead of its share once it has taken `more`.
-    fn lead(&self, tenant: TenantNumber, more: Duration) -> Duration {
+    fn lead(&self, tenant: TenantId, more: Duration) -> Duration {
         let start = self.tenants.get(&tenant).map_or(self.virtual_time, |entry| entry.virtual_start);
         (start.max(self.virtual_time) + more).saturating_sub(self.virtual_time)
     }
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -3,16 +3,16 @@
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::admitted_work::AdmittedWork;
-use crate::fair_shares::{FairShares, TenantStanding, WaitingTurns};
+use crate::fair_shares::{FairShares, TenantUsage, WaitingTurns};
 use crate::kept_slots::KeptSlots;
 use crate::load::permille;
 use crate::place::Place;
 use crate::{
-    ColdPace, Decision, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown, Started, Ticket,
-    WorkItem,
+    ColdStartLimiter, Decision, Dequeued, DisplacedRequest, LoadReport, Refusal, ServiceTime, Slowdown,
+    Ticket, WorkItem,
 };
 
 /// Assumed service time while nothing is known.
@@ -56,7 +56,7 @@
     refused_at: BTreeMap<u8, Instant>,
     /// When a request was admitted last, by rank.
     admitted_at: BTreeMap<u8, Instant>,
-    pace: ColdPace,
+    cold_start_limiter: ColdStartLimiter,
     slowdown: Slowdown,
 }
 
@@ -81,7 +81,7 @@
             kept: KeptSlots::default(),
             refused_at: BTreeMap::new(),
             admitted_at: BTreeMap::new(),
-            pace: ColdPace::default(),
+            cold_start_limiter: ColdStartLimiter::default(),
             slowdown: Slowdown::default(),
         }
     }
@@ -92,7 +92,7 @@
     }
 
     /// Sets whether new requests leave slots to calls, in the measure in which calls have come; they don't unless this is set.
-    pub const fn keep_slots_for_calls(&mut self, is_on: bool) {
+    pub const fn reserve_slots_for_calls(&mut self, is_on: bool) {
         self.kept.switch(is_on);
     }
 
@@ -104,26 +104,26 @@
     /// Takes no new work from now on, and gives up what waits; returns the tickets.
     pub fn close(&mut self) -> Vec<Ticket> {
         self.is_open = false;
-        self.give_up_waiting()
+        self.cancel_waiting()
     }
 
     /// Gives up what waits; returns the tickets.
-    pub fn give_up_waiting(&mut self) -> Vec<Ticket> {
+    pub fn cancel_waiting(&mut self) -> Vec<Ticket> {
         self.waiting.clear();
         self.shares.clear();
         std::mem::take(&mut self.places).into_keys().collect()
     }
 
     /// The pace of the back end while it is cold. Call [`WorkQueue::start_next`] after a change.
-    pub const fn pace(&mut self) -> &mut ColdPace {
-        &mut self.pace
+    pub const fn cold_start_limiter(&mut self) -> &mut ColdStartLimiter {
+        &mut self.cold_start_limiter
     }
 
     /// When the pace lets a waiting request start, if nothing but the pace holds it up.
     #[must_use]
-    pub fn paced_until(&self, now: Instant) -> Option<Instant> {
+    pub fn rate_limited_until(&self, now: Instant) -> Option<Instant> {
         let may_run = !self.waiting.is_empty() && self.running < self.slots;
-        if may_run { self.pace.next_start(now) } else { None }
+        if may_run { self.cold_start_limiter.next_start(now) } else { None }
     }
 
     /// Whether new work is taken.
@@ -133,7 +133,7 @@
     }
 
     /// Forgets what is known of the back end's speed: another one stands in its place.
-    pub fn forget_service_time(&mut self) {
+    pub fn reset_statistics(&mut self) {
         self.service_time = ServiceTime::default();
         self.slowdown = Slowdown::default();
         self.failed_share = 0.0;
@@ -160,9 +160,9 @@
             return Decision::Refuse(Refusal::WaitTooLong { expected: self.mean_service_time() });
         }
         if let Some(expected) = self.slowed_end(now, item) {
-            return Decision::Refuse(Refusal::Slowed { expected });
+            return Decision::Refuse(Refusal::BackEndSlow { expected });
         }
-        if self.has_slot_for(now, &item) && self.is_first(&item) && self.pace.may_start(now) {
+        if self.has_slot_for(now, &item) && self.is_first(&item) && self.cold_start_limiter.may_start(now) {
             if self.waiting.is_empty() {
                 self.shares.clear();
             }
@@ -171,10 +171,10 @@
             return Decision::Start;
         }
         self.shares.advance(now, self.running);
-        let is_above = self.shares.is_above(&item, self.quantum());
+        let is_over_share = self.shares.is_over_share(&item, self.quantum());
         let expected = self.expected_wait(now, item);
         if expected > item.longest_wait() && !self.is_before_admitted(now, &item, expected) {
-            if !has_missed && !is_above {
+            if !has_missed && !is_over_share {
                 self.refused_at.insert(item.priority, now);
             }
             return Decision::Refuse(Refusal::WaitTooLong { expected });
@@ -183,19 +183,19 @@
         if is_full && !self.displace_for(item) {
             return Decision::Refuse(Refusal::QueueFull);
         }
-        self.on_admitted(now, &item, is_above);
+        self.on_admitted(now, &item, is_over_share);
         Decision::Wait(self.enqueue(now, item))
     }
 
     /// Takes a waiting request that can start, or one that has expired. Call it until nothing comes.
-    pub fn start_next(&mut self, now: Instant) -> Option<Started> {
+    pub fn start_next(&mut self, now: Instant) -> Option<Dequeued> {
         let (place, item) = self.first_waiting(now)?;
         if item.is_hopeless(now) {
             self.remove(place);
-            return Some(Started::Expire(place.ticket));
+            return Some(Dequeued::Expire(place.ticket));
         }
         let (place, item) = self.first_with_slot(now, place, item)?;
-        if !self.pace.may_start(now) {
+        if !self.cold_start_limiter.may_start(now) {
             return None;
         }
         self.remove(place);
@@ -204,7 +204,7 @@
             self.shares.advance(now, self.running);
             self.shares.on_start(now, tenant, item.service, self.quantum());
         }
-        Some(Started::Run(place.ticket))
+        Some(Dequeued::Run(place.ticket))
     }
 
     /// The waiting requests that had to make room for others since this was called last.
@@ -213,19 +213,19 @@
     }
 
     /// Takes in that a request of `tenant` held its slot for `held`; zero if it was given up before it ran. [`WorkQueue::finish`] follows.
-    pub fn settle(&mut self, tenant: TenantNumber, held: Duration) {
+    pub fn settle(&mut self, tenant: TenantId, held: Duration) {
         self.shares.settle(tenant, held);
     }
 
     /// How a tenant stands; absent if none of its requests has waited of late.
     #[must_use]
-    pub fn standing(&self, now: Instant, tenant: TenantNumber) -> Option<TenantStanding> {
+    pub fn standing(&self, now: Instant, tenant: TenantId) -> Option<TenantUsage> {
         self.shares.standing(now, tenant, self.quantum())
     }
 
     /// The `count` tenants that took most slot time of late while others waited, the greatest first.
     #[must_use]
-    pub fn greatest_tenants(&self, now: Instant, count: usize) -> Vec<TenantStanding> {
+    pub fn top_tenants(&self, now: Instant, count: usize) -> Vec<TenantUsage> {
         self.shares.greatest(now, count, self.quantum())
     }
 
@@ -262,7 +262,7 @@
     }
 
     /// Takes in whether the answer of a request that ran came back sound.
-    pub fn record_answer(&mut self, is_sound: bool) {
+    pub fn record_response(&mut self, is_sound: bool) {
         let sample = if is_sound { 0.0 } else { 1.0 };
         self.failed_share += (sample - self.failed_share) * FAILURE_WEIGHT;
     }
@@ -272,7 +272,7 @@
     #[must_use]
     pub fn expected_wait(&mut self, now: Instant, item: WorkItem) -> Duration {
         let (ahead, count) = self.work_ahead(&item);
-        let pace_wait = self.pace.expected_wait(now, count);
+        let pace_wait = self.cold_start_limiter.expected_wait(now, count);
         let is_free = self.has_slot_for(now, &item) && ahead.is_zero();
         if is_free {
             return pace_wait;
@@ -302,7 +302,7 @@
     /// Seconds of service a second that go to requests which overtake `item`.
     fn overtaking_rate(&mut self, now: Instant, item: &WorkItem) -> f64 {
         let (rank, left) = (item.priority, item.urgency(now));
-        if !self.shares.is_above(item, self.quantum()) {
+        if !self.shares.is_over_share(item, self.quantum()) {
             return self.admitted.overtaking_rate(now, rank, left);
         }
         OTHERS_MARGIN * self.admitted.rate(now, rank) + self.admitted_above.overtaking_rate(now, rank, left)
@@ -326,7 +326,7 @@
     pub fn report(&mut self, now: Instant) -> LoadReport {
         self.reports += 1;
         self.shares.advance(now, self.running);
-        let slots = self.pace.usable_slots(now, self.slots, self.mean_service_time());
+        let slots = self.cold_start_limiter.usable_slots(now, self.slots, self.mean_service_time());
         LoadReport {
             number: self.reports,
             running: self.running,
@@ -335,14 +335,14 @@
             service_micros: self.service_time.mean_micros(),
             failed_permille: permille(self.failed_share),
             slowdown_percent: self.slowdown.percent(now).unwrap_or(0),
-            refused_rank: self.refused_rank(now),
+            refused_priority: self.refused_priority(now),
         }
     }
 
     /// Whether requests wait for a slot, or were refused one a moment ago.
     #[must_use]
     pub fn is_slot_wanted(&self, now: Instant) -> bool {
-        !self.waiting.is_empty() || self.refused_rank(now).is_some()
+        !self.waiting.is_empty() || self.refused_priority(now).is_some()
     }
 
     /// Whether requests of this rank or a more urgent one that could still meet their objective were refused a moment ago.
@@ -354,7 +354,7 @@
     }
 
     /// The most urgent rank of which requests that could still have met their objective were refused a moment ago.
-    fn refused_rank(&self, now: Instant) -> Option<u8> {
+    fn refused_priority(&self, now: Instant) -> Option<u8> {
         let moment = self.mean_service_time().mul_f64(TOLD_REFUSAL_TURNS);
         let mut refused = self.refused_at.iter();
         let (rank, _) = refused.find(|(_, at)| now.saturating_duration_since(**at) < moment)?;
@@ -365,17 +365,17 @@
     /// time.
     fn slowed_end(&mut self, now: Instant, item: WorkItem) -> Option<Duration> {
         let factor = self.slowdown.factor(now);
-        if factor <= 1.0 || item.is_later_try || item.is_call() || item.is_late(now) {
+        if factor <= 1.0 || item.is_caller_retry || item.is_call() || item.is_late(now) {
             return None;
         }
         let usual_wait = self.expected_wait(now, item);
-        if usual_wait > item.patience {
+        if usual_wait > item.max_queue_wait {
             return None;
         }
         let wait = usual_wait.mul_f64(factor);
         let service = item.service.mul_f64(factor);
-        let patience = item.patience.saturating_sub(service.saturating_sub(item.service));
-        let is_refused = wait + service > item.left(now) || wait > patience;
+        let max_queue_wait = item.max_queue_wait.saturating_sub(service.saturating_sub(item.service));
+        let is_refused = wait + service > item.left(now) || wait > max_queue_wait;
         is_refused.then_some(wait + service)
     }
 
@@ -388,8 +388,8 @@
         is_urgent && !item.has_missed(now) && expected + item.service <= item.left(now)
     }
 
-    fn on_admitted(&mut self, now: Instant, item: &WorkItem, is_above: bool) {
-        let admitted = if is_above { &mut self.admitted_above } else { &mut self.admitted };
+    fn on_admitted(&mut self, now: Instant, item: &WorkItem, is_over_share: bool) {
+        let admitted = if is_over_share { &mut self.admitted_above } else { &mut self.admitted };
         admitted.record(now, item.priority, item.urgency(now), item.service);
         self.admitted_at.insert(item.priority, now);
     }
@@ -422,7 +422,7 @@
         if !item.is_call() {
             self.kept.on_new_started();
         }
-        self.pace.on_start(now);
+        self.cold_start_limiter.on_start(now);
     }
 
     fn mean_service_time(&self) -> Duration {
--- a/crates/scheduling/src/wait_bounds.rs
+++ b/crates/scheduling/src/wait_bounds.rs
@@ -31,7 +31,7 @@
     /// End of the time within which an answer is of any use.
     pub deadline: Instant,
     /// Time for which its caller waits.
-    pub caller_time: Duration,
+    pub caller_timeout: Duration,
     /// Who waits for it.
     pub dependent: Dependent,
 }
@@ -40,21 +40,21 @@
     /// When it is given up if no back end has been handed it: its caller still has time to come back then, and a run that waits for it
     /// does not hold its slot for longer than that serves.
     #[must_use]
-    pub fn hold_until(&self) -> Instant {
-        let share = self.caller_time.mul_f64(HOLD_SHARE);
+    pub fn queue_deadline(&self) -> Instant {
+        let share = self.caller_timeout.mul_f64(HOLD_SHARE);
         self.arrived + share.min(self.objective.mul_f64(HOLD_OBJECTIVE_SHARE))
     }
 
     /// Longest wait for a slot at `now`, if the back end takes `service` for it. As long as a refusal still comes early, a request that a caller
     /// can send again waits only where it is expected to meet its objective. Others wait as long as they can.
     #[must_use]
-    pub fn patience(&self, now: Instant, service: Duration) -> Duration {
+    pub fn max_queue_wait(&self, now: Instant, service: Duration) -> Duration {
         let is_early = now < self.arrived + self.objective.mul_f64(EARLY_SHARE);
         let until_deadline = self.deadline.saturating_duration_since(now).saturating_sub(service);
         if is_early && self.dependent == Dependent::Caller {
             let expected_by = self.arrived + self.objective.mul_f64(EXPECTED_SHARE);
             return expected_by.saturating_duration_since(now).saturating_sub(service);
         }
-        until_deadline.min(self.hold_until().saturating_duration_since(now))
+        until_deadline.min(self.queue_deadline().saturating_duration_since(now))
     }
 }
--- a/crates/scheduling/src/work_item.rs
+++ b/crates/scheduling/src/work_item.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 
 use crate::CallLevel;
 
@@ -23,15 +23,15 @@
     /// End of the time within which an answer is of any use.
     pub deadline: Instant,
     /// When it is given up if it still waits.
-    pub hold_until: Instant,
+    pub queue_deadline: Instant,
     /// Longest wait with which it is taken in, as far as can be expected.
-    pub patience: Duration,
+    pub max_queue_wait: Duration,
     /// Time that the back end is expected to take for it at its usual speed.
     pub service: Duration,
     /// Whether its caller has sent it before and was refused: its objective can be met only in part by now.
-    pub is_later_try: bool,
+    pub is_caller_retry: bool,
     /// Tenant on whose behalf it is sent; absent if it is of none.
-    pub tenant: Option<TenantNumber>,
+    pub tenant: Option<TenantId>,
     /// Level of the run at another back end that waits for it, if it is a call. The lower it is, the longer a wait the call is taken in with.
     pub call: Option<CallLevel>,
 }
@@ -59,7 +59,7 @@
 
     /// Whether it is of less use than one that comes in time. A call is not, however late: its run waits.
     pub(crate) fn has_missed(&self, now: Instant) -> bool {
-        !self.is_call() && (self.is_later_try || self.is_late(now))
+        !self.is_call() && (self.is_caller_retry || self.is_late(now))
     }
 
     /// Time by which it is reckoned to overtake others.
@@ -69,7 +69,7 @@
 
     /// Longest expected wait with which it is taken in.
     pub(crate) fn longest_wait(&self) -> Duration {
-        self.call.map_or(self.patience, |level| self.patience.mul_f64(level.patience_share()))
+        self.call.map_or(self.max_queue_wait, |level| self.max_queue_wait.mul_f64(level.patience_share()))
     }
 
     /// Most requests that may wait when it comes, as a multiple of the slots.
--- a/crates/scheduling/tests/calls.rs
+++ b/crates/scheduling/tests/calls.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use umberpond_scheduling::{CallLevel, Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{CallLevel, Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -14,10 +14,10 @@
         priority: 1,
         objective_at: now + millis(objective),
         deadline: now + millis(2_000),
-        hold_until: now + millis(2_000),
-        patience: millis(2_000),
+        queue_deadline: now + millis(2_000),
+        max_queue_wait: millis(2_000),
         service: millis(50),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
@@ -34,7 +34,7 @@
 
 fn queue_busy_with(now: Instant, item: WorkItem) -> WorkQueue {
     let mut queue = WorkQueue::new();
-    queue.keep_slots_for_calls(true);
+    queue.reserve_slots_for_calls(true);
     queue.set_slots(1);
     queue.open();
     assert_eq!(queue.offer(now, item), Decision::Start);
@@ -48,7 +48,7 @@
 
 fn next_run(queue: &mut WorkQueue, now: Instant) -> Ticket {
     queue.finish(Some(millis(50)));
-    let Some(Started::Run(ticket)) = queue.start_next(now) else { panic!("nothing runs") };
+    let Some(Dequeued::Run(ticket)) = queue.start_next(now) else { panic!("nothing runs") };
     ticket
 }
 
@@ -66,7 +66,7 @@
 fn a_late_call_is_taken_in_where_a_late_new_request_is_refused() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    let impatient = WorkItem { patience: Duration::ZERO, ..new_work(now, 500) };
+    let impatient = WorkItem { max_queue_wait: Duration::ZERO, ..new_work(now, 500) };
     assert!(matches!(queue.offer(now, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
     assert!(matches!(queue.offer(now, new_work(now, 20)), Decision::Refuse(Refusal::WaitTooLong { .. })));
     waits(queue.offer(now, call(now, 20)));
@@ -76,7 +76,7 @@
 fn a_queue_full_of_new_requests_takes_calls() {
     let now = Instant::now();
     let mut queue = busy_queue(now);
-    let patient = WorkItem { patience: millis(100_000), ..new_work(now, 500) };
+    let patient = WorkItem { max_queue_wait: millis(100_000), ..new_work(now, 500) };
     while matches!(queue.offer(now, patient), Decision::Wait(_)) {}
     assert_eq!(queue.offer(now, patient), Decision::Refuse(Refusal::QueueFull));
     let call = waits(queue.offer(now, call(now, 300)));
@@ -101,23 +101,23 @@
 fn the_report_tells_the_most_urgent_rank_refused_until_all_slots_may_have_turned_over() {
     let now = Instant::now();
     let mut queue = queue_busy_with(now, WorkItem { priority: 0, ..new_work(now, 500) });
-    assert_eq!(queue.report(now).refused_rank, None);
+    assert_eq!(queue.report(now).refused_priority, None);
     let refuse = |queue: &mut WorkQueue, priority, at| {
-        let impatient = WorkItem { priority, patience: Duration::ZERO, ..new_work(at, 500) };
+        let impatient = WorkItem { priority, max_queue_wait: Duration::ZERO, ..new_work(at, 500) };
         assert!(matches!(queue.offer(at, impatient), Decision::Refuse(Refusal::WaitTooLong { .. })));
     };
     refuse(&mut queue, 2, now);
-    assert_eq!(queue.report(now).refused_rank, Some(2));
+    assert_eq!(queue.report(now).refused_priority, Some(2));
     refuse(&mut queue, 0, now + millis(30));
-    assert_eq!(queue.report(now + millis(30)).refused_rank, Some(0));
+    assert_eq!(queue.report(now + millis(30)).refused_priority, Some(0));
     refuse(&mut queue, 2, now + millis(70));
-    assert_eq!(queue.report(now + millis(70)).refused_rank, Some(0));
+    assert_eq!(queue.report(now + millis(70)).refused_priority, Some(0));
     assert_eq!(
-        queue.report(now + millis(81)).refused_rank,
+        queue.report(now + millis(81)).refused_priority,
         Some(2),
         "nothing is known of a longer service time"
     );
-    assert_eq!(queue.report(now + millis(121)).refused_rank, None);
+    assert_eq!(queue.report(now + millis(121)).refused_priority, None);
 }
 
 /// Two calls of one run meet queues that are as long: both are taken in, or both refused.
@@ -127,8 +127,8 @@
     let mut queue = busy_queue(now);
     queue.offer(now, new_work(now, 500));
     let of_level = |level| {
-        let work = CallLevel::of_hash(level);
-        WorkItem { call: Some(work), patience: millis(80), ..new_work(now, 300) }
+        let work = CallLevel::from_hash(level);
+        WorkItem { call: Some(work), max_queue_wait: millis(80), ..new_work(now, 300) }
     };
     let wait = queue.expected_wait(now, of_level(0));
     assert!(wait > millis(40) && wait < millis(80), "{wait:?} is more than half of the patience");
@@ -139,7 +139,7 @@
 /// A queue before four slots, to which calls of `rank` have come that take half of them.
 fn queue_with_calls(now: Instant, rank: u8) -> WorkQueue {
     let mut queue = WorkQueue::new();
-    queue.keep_slots_for_calls(true);
+    queue.reserve_slots_for_calls(true);
     queue.set_slots(4);
     queue.open();
     for number in 0..100 {
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use quickcheck::quickcheck;
-use umberpond_scheduling::{Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -14,10 +14,10 @@
         priority,
         objective_at: now + millis(objective),
         deadline: now + millis(10_000),
-        hold_until: now + millis(10_000),
-        patience: millis(10_000),
+        queue_deadline: now + millis(10_000),
+        max_queue_wait: millis(10_000),
         service: millis(50),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
@@ -44,7 +44,7 @@
     let third = waits(queue.offer(now, item(now, 1, 500)));
     assert_eq!(queue.start_next(now), None);
     queue.finish(Some(millis(20)));
-    assert_eq!(queue.start_next(now), Some(Started::Run(third)));
+    assert_eq!(queue.start_next(now), Some(Dequeued::Run(third)));
     assert_eq!(queue.start_next(now), None);
 }
 
@@ -59,7 +59,7 @@
     let mut order = Vec::new();
     for _ in 0..3 {
         queue.finish(Some(millis(10)));
-        let Some(Started::Run(ticket)) = queue.start_next(now) else { panic!("nothing waits") };
+        let Some(Dequeued::Run(ticket)) = queue.start_next(now) else { panic!("nothing waits") };
         order.push(ticket);
     }
     assert_eq!(order, [soon, late, low]);
@@ -77,9 +77,9 @@
     let in_time = waits(queue.offer(now, slow(800)));
     let later = now + millis(120);
     queue.finish(Some(millis(100)));
-    assert_eq!(queue.start_next(later), Some(Started::Run(in_time)));
+    assert_eq!(queue.start_next(later), Some(Dequeued::Run(in_time)));
     queue.finish(Some(millis(100)));
-    assert_eq!(queue.start_next(later), Some(Started::Run(hopeless)));
+    assert_eq!(queue.start_next(later), Some(Dequeued::Run(hopeless)));
 }
 
 #[test]
@@ -89,7 +89,7 @@
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     queue.finish(Some(millis(100)));
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let impatient = WorkItem { patience: millis(50), ..item(now, 1, 500) };
+    let impatient = WorkItem { max_queue_wait: millis(50), ..item(now, 1, 500) };
     let refusal = Refusal::WaitTooLong { expected: millis(100) };
     assert_eq!(queue.offer(now, impatient), Decision::Refuse(refusal));
 }
@@ -115,7 +115,7 @@
     let short = WorkItem { deadline: now + millis(30), service: millis(10), ..item(now, 1, 20) };
     let ticket = waits(queue.offer(now, short));
     queue.finish(Some(millis(50)));
-    assert_eq!(queue.start_next(now + millis(50)), Some(Started::Expire(ticket)));
+    assert_eq!(queue.start_next(now + millis(50)), Some(Dequeued::Expire(ticket)));
     assert_eq!(queue.offer(now + millis(50), short), Decision::Refuse(Refusal::Expired));
 }
 
@@ -127,7 +127,7 @@
     let long = WorkItem { deadline: now + millis(150), service: millis(120), ..item(now, 1, 140) };
     let ticket = waits(queue.offer(now, long));
     queue.finish(Some(millis(80)));
-    assert_eq!(queue.start_next(now + millis(80)), Some(Started::Expire(ticket)));
+    assert_eq!(queue.start_next(now + millis(80)), Some(Dequeued::Expire(ticket)));
     assert_eq!(queue.offer(now + millis(80), long), Decision::Refuse(Refusal::Expired));
 }
 
@@ -139,13 +139,13 @@
         let _ = queue.offer(now, item(now, 1, 500));
     }
     queue.finish(Some(millis(40)));
-    queue.record_answer(true);
+    queue.record_response(true);
     let first = queue.report(Instant::now());
     assert_eq!((first.running, first.waiting, first.slots), (1, 3, 2));
     assert_eq!(first.service_time(), Some(millis(40)));
     assert!(queue.report(Instant::now()).number > first.number);
     for _ in 0..30 {
-        queue.record_answer(false);
+        queue.record_response(false);
     }
     assert!(queue.report(Instant::now()).failed_permille > 500);
 }
@@ -174,7 +174,7 @@
             }
             while let Some(started) = queue.start_next(now) {
                 waiting -= 1;
-                running += u32::from(matches!(started, Started::Run(_)));
+                running += u32::from(matches!(started, Dequeued::Run(_)));
             }
             let report = queue.report(Instant::now());
             let is_idle_with_work = running < slots && waiting > 0;
@@ -211,16 +211,16 @@
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let later = waits(queue.offer(now, WorkItem { is_later_try: true, ..item(now, 1, 400) }));
+    let later = waits(queue.offer(now, WorkItem { is_caller_retry: true, ..item(now, 1, 400) }));
     let first = waits(queue.offer(now, item(now, 1, 600)));
     let less_urgent = waits(queue.offer(now, item(now, 2, 300)));
-    let order: Vec<Option<Started>> = (0..3)
+    let order: Vec<Option<Dequeued>> = (0..3)
         .map(|_| {
             queue.finish(Some(millis(10)));
             queue.start_next(now)
         })
         .collect();
-    assert_eq!(order, [first, later, less_urgent].map(|ticket| Some(Started::Run(ticket))));
+    assert_eq!(order, [first, later, less_urgent].map(|ticket| Some(Dequeued::Run(ticket))));
 }
 
 /// What can't meet its objective any more takes no slot for which another one is about to come.
@@ -234,10 +234,10 @@
     assert_eq!(queue.offer(begun, in_time), Decision::Start);
     queue.finish(Some(Duration::from_millis(100)));
     assert_eq!(queue.offer(begun, in_time), Decision::Start);
-    let impatient = WorkItem { patience: Duration::ZERO, ..in_time };
+    let impatient = WorkItem { max_queue_wait: Duration::ZERO, ..in_time };
     assert!(matches!(queue.offer(begun, impatient), Decision::Refuse(_)));
     queue.finish(Some(Duration::from_millis(100)));
-    let later = WorkItem { is_later_try: true, ..in_time };
+    let later = WorkItem { is_caller_retry: true, ..in_time };
     let soon = begun + Duration::from_millis(40);
     assert!(matches!(queue.offer(soon, later), Decision::Refuse(Refusal::WaitTooLong { .. })));
     let more_urgent = WorkItem { priority: 0, ..later };
--- a/crates/scheduling/tests/ranks.rs
+++ b/crates/scheduling/tests/ranks.rs
@@ -14,10 +14,10 @@
         priority: 1,
         objective_at: now + millis(400),
         deadline: now + millis(1_000),
-        hold_until: now + millis(400),
-        patience: millis(80),
+        queue_deadline: now + millis(400),
+        max_queue_wait: millis(80),
         service: millis(140),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
@@ -25,7 +25,7 @@
 
 /// A lookup, which takes so long by itself that its sender has no patience left.
 fn lookup(now: Instant) -> WorkItem {
-    WorkItem { priority: 0, patience: Duration::ZERO, service: millis(270), ..order(now) }
+    WorkItem { priority: 0, max_queue_wait: Duration::ZERO, service: millis(270), ..order(now) }
 }
 
 /// A queue before two slots, which orders have taken.
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -7,8 +7,8 @@
 
 use umberpond_model::ServiceName;
 use umberpond_scheduling::{
-    CallEnd, CallLevel, CallOutlook, Decision, Dependent, RunPlan, Started, Ticket, WaitBounds, WorkItem,
-    WorkQueue,
+    CallFailureEstimator, CallLevel, CallOutcome, Decision, Dependent, Dequeued, PendingRun, Ticket,
+    WaitBounds, WorkItem, WorkQueue,
 };
 
 /// Slots of one queue.
@@ -62,7 +62,7 @@
     kind: &'static Kind,
     first_sent: u64,
     sent: u64,
-    is_later_try: bool,
+    is_caller_retry: bool,
     /// The run that has made it.
     run: Option<usize>,
     queue: (usize, usize),
@@ -87,7 +87,7 @@
     sequence: u64,
     services: Vec<Vec<WorkQueue>>,
     /// How the calls of the runs at each queue fare.
-    outlooks: HashMap<(usize, usize), CallOutlook>,
+    outlooks: HashMap<(usize, usize), CallFailureEstimator>,
     requests: Vec<Request>,
     waiting: HashMap<(usize, usize, Ticket), usize>,
     /// Time in the slot in the mean, in milliseconds.
@@ -152,12 +152,12 @@
     }
 
     fn request(&mut self, kind: &'static Kind, sent: u64, run: Option<usize>) -> usize {
-        let level = CallLevel::of_hash((self.uniform() * 1e6) as u64);
+        let level = CallLevel::from_hash((self.uniform() * 1e6) as u64);
         self.requests.push(Request {
             kind,
             first_sent: sent,
             sent,
-            is_later_try: false,
+            is_caller_retry: false,
             run,
             queue: (kind.service, 0),
             started: 0,
@@ -202,11 +202,12 @@
         let Some(call) = &kind.call else { return true };
         let now = self.instant(self.now);
         let load = self.services[kind.service][queue].report(now);
-        if load.waiting == 0 && load.refused_rank.is_none() {
+        if load.waiting == 0 && load.refused_priority.is_none() {
             return true;
         }
         let calls = [(name_of(call.kind), f64::from(call.count))];
-        let plan = RunPlan { route: 0, rank: kind.rank, level: self.requests[request].level, calls: &calls };
+        let plan =
+            PendingRun { route: 0, rank: kind.rank, level: self.requests[request].level, calls: &calls };
         self.outlooks.entry((kind.service, queue)).or_default().begin_run(now, &plan).is_ok()
     }
 
@@ -222,7 +223,7 @@
             Decision::Start => self.start(request),
             Decision::Wait(ticket) => {
                 self.waiting.insert((service, queue, ticket), request);
-                let end = item.hold_until.min(item.deadline).duration_since(self.began);
+                let end = item.queue_deadline.min(item.deadline).duration_since(self.began);
                 self.at(end.as_millis() as u64, Event::GiveUp(request, ticket));
             }
             Decision::Refuse(_) => return false,
@@ -231,7 +232,7 @@
     }
 
     fn item(&self, request: usize) -> WorkItem {
-        let Request { kind, sent, run, is_later_try, .. } = &self.requests[request];
+        let Request { kind, sent, run, is_caller_retry, .. } = &self.requests[request];
         let run = run.map(|run| &self.requests[run]);
         let run_deadline = run.map_or(u64::MAX, |run| run.sent + run.kind.deadline);
         let run_rank = run.map_or(u8::MAX, |run| run.kind.rank);
@@ -239,7 +240,7 @@
             arrived: self.instant(*sent),
             objective: Duration::from_millis(kind.objective),
             deadline: self.instant(run_deadline.min(sent + kind.deadline)),
-            caller_time: Duration::from_millis(kind.deadline),
+            caller_timeout: Duration::from_millis(kind.deadline),
             dependent: if run.is_some() { Dependent::Requests } else { Dependent::Caller },
         };
         let slot_time = self.slot_times.get(kind.name).copied().unwrap_or(kind.work as f64);
@@ -248,10 +249,10 @@
             priority: run_rank.min(kind.rank),
             objective_at: bounds.arrived + bounds.objective,
             deadline: bounds.deadline,
-            hold_until: bounds.hold_until(),
-            patience: bounds.patience(self.instant(self.now), service),
+            queue_deadline: bounds.queue_deadline(),
+            max_queue_wait: bounds.max_queue_wait(self.instant(self.now), service),
             service,
-            is_later_try: *is_later_try,
+            is_caller_retry: *is_caller_retry,
             tenant: None,
             call: run.map(|run| run.level),
         }
@@ -299,11 +300,11 @@
         let now = self.instant(self.now);
         while let Some(started) = self.services[service][queue].start_next(now) {
             match started {
-                Started::Run(ticket) => {
+                Dequeued::Run(ticket) => {
                     let request = self.waiting.remove(&(service, queue, ticket));
                     self.start(request.expect("it waits"));
                 }
-                Started::Expire(ticket) => {
+                Dequeued::Expire(ticket) => {
                     let request = self.waiting.remove(&(service, queue, ticket));
                     self.refused(request.expect("it waits"));
                 }
@@ -321,13 +322,13 @@
 
     /// A caller comes back once; a call does not.
     fn refused(&mut self, request: usize) {
-        let Request { kind, first_sent, run, is_later_try, .. } = self.requests[request];
+        let Request { kind, first_sent, run, is_caller_retry, .. } = self.requests[request];
         let left = (first_sent + kind.deadline).saturating_sub(self.now);
-        if run.is_some() || is_later_try || left == 0 {
+        if run.is_some() || is_caller_retry || left == 0 {
             return self.close(request, false);
         }
         let next = self.now + (left as f64 * COME_BACK) as u64;
-        self.requests[request].is_later_try = true;
+        self.requests[request].is_caller_retry = true;
         self.requests[request].sent = next;
         self.at(next, Event::Arrive(request));
     }
@@ -337,7 +338,7 @@
         let Request { kind, first_sent, run, .. } = self.requests[request];
         if let Some(run) = run {
             let Request { kind: run_kind, queue, .. } = self.requests[run];
-            let end = if is_good { CallEnd::Run } else { CallEnd::NoRoom };
+            let end = if is_good { CallOutcome::Run } else { CallOutcome::NoRoom };
             let now = self.instant(self.now);
             self.outlooks.entry(queue).or_default().record_call(
                 now,
@@ -398,7 +399,7 @@
 
 fn open_queue() -> WorkQueue {
     let mut queue = WorkQueue::new();
-    queue.keep_slots_for_calls(true);
+    queue.reserve_slots_for_calls(true);
     queue.set_slots(QUEUE_SLOTS);
     queue.open();
     queue
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -17,10 +17,10 @@
         priority: 1,
         objective_at: now + millis(objective),
         deadline: now + millis(2_000),
-        hold_until: now + millis(2_000),
-        patience: millis(objective / 2).saturating_sub(millis(service)),
+        queue_deadline: now + millis(2_000),
+        max_queue_wait: millis(objective / 2).saturating_sub(millis(service)),
         service: millis(service),
-        is_later_try: false,
+        is_caller_retry: false,
         tenant: None,
         call: None,
     }
@@ -91,7 +91,7 @@
 fn the_time_of_a_slow_answer_is_learnt_as_that_of_the_usual_speed() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 250);
-    let usual = queue.slowdown().usual_time(now, millis(250));
+    let usual = queue.slowdown().normalized_time(now, millis(250));
     queue.finish(Some(usual));
     let report = queue.report(now);
     assert_eq!(report.service_time(), Some(millis(100)));
@@ -105,7 +105,7 @@
     let request = item(now, 250, 110);
     assert_eq!(open_queue(4).offer(now, request), Decision::Start);
     let refused = slow_queue(now, 250).offer(now, request);
-    assert_eq!(refused, Decision::Refuse(Refusal::Slowed { expected: millis(275) }));
+    assert_eq!(refused, Decision::Refuse(Refusal::BackEndSlow { expected: millis(275) }));
     assert_eq!(slow_queue(now, 150).offer(now, request), Decision::Start);
     assert_eq!(slow_queue(now, 50).offer(now, request), Decision::Start);
 }
@@ -114,7 +114,7 @@
 #[test]
 fn a_later_try_and_one_that_is_late_anywhere_are_not_refused_for_slowness() {
     let now = Instant::now();
-    let later_try = WorkItem { is_later_try: true, ..item(now, 250, 110) };
+    let later_try = WorkItem { is_caller_retry: true, ..item(now, 250, 110) };
     assert_eq!(slow_queue(now, 250).offer(now, later_try), Decision::Start);
     assert_eq!(slow_queue(now, 250).offer(now, item(now, 100, 110)), Decision::Start);
 }
@@ -127,13 +127,13 @@
     let of_a_run = WorkItem { call: Some(call), ..item(now, 60, 28) };
     assert_eq!(slow_queue(now, 250).offer(now, of_a_run), Decision::Start);
     let alone = slow_queue(now, 250).offer(now, item(now, 60, 28));
-    assert!(matches!(alone, Decision::Refuse(Refusal::Slowed { .. })), "{alone:?}");
+    assert!(matches!(alone, Decision::Refuse(Refusal::BackEndSlow { .. })), "{alone:?}");
 }
 
 #[test]
 fn a_wait_is_expected_to_last_longer_while_the_back_end_is_slow() {
     let now = Instant::now();
-    let request = WorkItem { patience: millis(60), ..item(now, 250, 40) };
+    let request = WorkItem { max_queue_wait: millis(60), ..item(now, 250, 40) };
     let offer_to_full = |queue: &mut WorkQueue| {
         for _ in 0..4 {
             assert_eq!(queue.offer(now, request), Decision::Start);
@@ -142,7 +142,7 @@
     };
     assert!(matches!(offer_to_full(&mut open_queue(4)), Decision::Wait(_)));
     let slowed = offer_to_full(&mut slow_queue(now, 250));
-    assert!(matches!(slowed, Decision::Refuse(Refusal::Slowed { .. })), "{slowed:?}");
+    assert!(matches!(slowed, Decision::Refuse(Refusal::BackEndSlow { .. })), "{slowed:?}");
 }
 
 /// A back end that gets no work tells nothing. Were its last word to count for ever, it would never get work again.
@@ -159,7 +159,7 @@
 fn another_back_end_in_its_place_starts_without_its_word() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 600);
-    queue.forget_service_time();
+    queue.reset_statistics();
     assert_eq!(queue.report(now).slowdown_percent, 0);
 }
 
@@ -172,7 +172,7 @@
             now += millis(u64::from(after));
             let _ = slowdown.on_word(now, percent);
             let factor = slowdown.factor(now);
-            (0.1..=100.0).contains(&factor) && slowdown.usual_time(now, LONG) <= LONG * 10
+            (0.1..=100.0).contains(&factor) && slowdown.normalized_time(now, LONG) <= LONG * 10
         })
     }
 }
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use umberpond_model::TenantNumber;
+use umberpond_model::TenantId;
 use umberpond_scheduling::WorkItem;
 
 use gate::{Gate, Leaving, Offered, QueueGate, ShardedGate};
@@ -231,8 +231,8 @@
         }
     }
 
-    fn tenant(&self, request: Request) -> Option<TenantNumber> {
-        (self.replay.gates != Gates::Untold).then_some(TenantNumber(request.tenant as u64))
+    fn tenant(&self, request: Request) -> Option<TenantId> {
+        (self.replay.gates != Gates::Untold).then_some(TenantId(request.tenant as u64))
     }
 
     fn hold_seconds(&self) -> f64 {
@@ -241,15 +241,15 @@
 
     fn item(&self, now: Instant, request: Request) -> WorkItem {
         let load = self.replay.tenants[request.tenant];
-        let patience = (self.replay.objective * PATIENCE_SHARE - load.service).max(0.0);
+        let max_queue_wait = (self.replay.objective * PATIENCE_SHARE - load.service).max(0.0);
         WorkItem {
             priority: 1,
             objective_at: now + Duration::from_secs_f64(self.replay.objective),
             deadline: now + Duration::from_secs_f64(self.replay.deadline),
-            hold_until: now + Duration::from_secs_f64(self.hold_seconds()),
-            patience: Duration::from_secs_f64(patience),
+            queue_deadline: now + Duration::from_secs_f64(self.hold_seconds()),
+            max_queue_wait: Duration::from_secs_f64(max_queue_wait),
             service: Duration::from_secs_f64(load.service),
-            is_later_try: false,
+            is_caller_retry: false,
             tenant: self.tenant(request),
             call: None,
         }
@@ -279,8 +279,8 @@
             Offered::Starts => self.start(now, index, request),
             Offered::Waits => {
                 let life = back_end.life;
-                let hold_until = offered.arrived + self.hold_seconds();
-                self.plan(hold_until, Event::GiveUp { back_end: index, life, request });
+                let queue_deadline = offered.arrived + self.hold_seconds();
+                self.plan(queue_deadline, Event::GiveUp { back_end: index, life, request });
             }
             Offered::Refused => {}
         }
--- a/crates/selection/src/lib.rs
+++ b/crates/selection/src/lib.rs
@@ -7,14 +7,14 @@
 mod draw;
 mod endpoint;
 mod releases;
-mod retry_stake;
+mod retry_priority;
 mod route_times;
 mod selector;
 
 pub use budget::{RetryBudget, RetryBudgetSettings};
 pub use choice::{Choice, Query};
-pub use draw::DrawSettings;
+pub use draw::SamplingSettings;
 pub use endpoint::{Endpoint, Observation};
 pub use releases::{ReleaseGroup, ReleaseShare};
-pub use retry_stake::{OtherCalls, RetryOwner, RetryStake, RetryStakes};
-pub use selector::{AnswerTimes, Selector, SelectorSettings};
+pub use retry_priority::{OtherCalls, RetryInitiator, RetryPriority, RetryStakes};
+pub use selector::{ResponseTimes, Selector, SelectorSettings};
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -9,7 +9,7 @@
 use umberpond_scheduling::LoadReport;
 
 use crate::choice::{Choice, Query};
-use crate::draw::{Candidate, Draw, DrawSettings};
+use crate::draw::{Candidate, Draw, SamplingSettings};
 use crate::endpoint::{Endpoint, Observation, Tracked};
 use crate::releases::{ReleaseGroup, ReleaseShare, Releases};
 use crate::route_times::ServiceTimes;
@@ -37,7 +37,7 @@
     /// Cost of an answer that is lost.
     pub failure_cost: f64,
     /// Which endpoints are drawn at random for one choice.
-    pub draw: DrawSettings,
+    pub draw: SamplingSettings,
 }
 
 impl Default for SelectorSettings {
@@ -47,7 +47,7 @@
             zone_cost_after_refusal: 0.3,
             region_cost: 0.5,
             failure_cost: 1.5,
-            draw: DrawSettings::default(),
+            draw: SamplingSettings::default(),
         }
     }
 }
@@ -115,7 +115,7 @@
     }
 
     /// Deals one request of `service` to the releases that may get it.
-    pub fn deal_release(&mut self, service: &ServiceName) -> ReleaseGroup {
+    pub fn assign_release(&mut self, service: &ServiceName) -> ReleaseGroup {
         self.releases.get_mut(service).map_or(ReleaseGroup::Others, Releases::deal)
     }
 
@@ -139,7 +139,7 @@
     }
 
     /// Takes in what the node `node` has told just now of the load of its back end.
-    pub fn on_present_report(
+    pub fn on_fresh_report(
         &mut self,
         now: Instant,
         service: &ServiceName,
@@ -216,13 +216,13 @@
 
     /// Takes in how long an answered request of `route` took in the back end, and how long outside it and its queue. It comes after the
     /// answer's load report, which tells at which speed the back end worked.
-    pub fn on_times(
+    pub fn on_response_times(
         &mut self,
         now: Instant,
         service: &ServiceName,
         route: &RouteName,
         node: &NodeName,
-        times: AnswerTimes,
+        times: ResponseTimes,
     ) {
         let Some(tracked) = self.tracked(service, node) else { return };
         tracked.on_overhead(times.overhead);
@@ -307,7 +307,7 @@
         Choice {
             node: tracked.endpoint.node.clone(),
             address: tracked.endpoint.address,
-            has_room: tracked.held() + 1.0 <= tracked.slots(),
+            has_free_slot: tracked.held() + 1.0 <= tracked.slots(),
             is_near: self.distance(&tracked.endpoint.locality) == Distance::Zone,
             instance: tracked.endpoint.instance.clone(),
             service: Duration::from_secs_f64(estimate.service),
@@ -355,7 +355,7 @@
 
 /// How long an answered request took.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct AnswerTimes {
+pub struct ResponseTimes {
     /// Time in the back end.
     pub served: Duration,
     /// Time outside the back end and its queue.
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/replay/mod.rs
@@ -6,9 +6,10 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
-use umberpond_scheduling::{Decision, Refusal, Started, Ticket, WorkItem, WorkQueue};
+use umberpond_scheduling::{Decision, Dequeued, Refusal, Ticket, WorkItem, WorkQueue};
 use umberpond_selection::{
-    AnswerTimes, Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, Selector, SelectorSettings,
+    Choice, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, SamplingSettings, Selector,
+    SelectorSettings,
 };
 
 const SLOTS: u32 = 4;
@@ -55,7 +56,7 @@
     pub reaches_callers: bool,
     /// Time between two reports of a node to all others.
     pub news_every: Duration,
-    pub draw: DrawSettings,
+    pub draw: SamplingSettings,
     pub seed: u64,
 }
 
@@ -232,7 +233,7 @@
     fn on_ask(&mut self, number: usize) {
         let Some(choice) = self.choose(number) else { return self.give_up(number) };
         let tried = self.requests[number].tried.len();
-        if tried >= MAX_ATTEMPTS || (tried > BLIND_ATTEMPTS && !choice.has_room) {
+        if tried >= MAX_ATTEMPTS || (tried > BLIND_ATTEMPTS && !choice.has_free_slot) {
             return self.give_up(number);
         }
         let request = &mut self.requests[number];
@@ -264,11 +265,11 @@
             Decision::Start => self.start(number),
             Decision::Wait(ticket) => {
                 self.back_ends[at].waiting.insert(ticket, number);
-                let hold = (item.hold_until - self.epoch).saturating_sub(self.now);
+                let hold = (item.queue_deadline - self.epoch).saturating_sub(self.now);
                 self.plan(hold, Step::Hold(number, ticket));
             }
             Decision::Refuse(refusal) => {
-                let is_slowed = matches!(refusal, Refusal::Slowed { .. });
+                let is_slowed = matches!(refusal, Refusal::BackEndSlow { .. });
                 self.tally.slowed += u32::from(is_slowed && self.now >= WARM_UP);
                 self.on_refused(number);
                 self.plan(HOP, Step::Ask(number));
@@ -281,7 +282,7 @@
         let passed = self.now - request.arrived;
         let hold = DEADLINE.mul_f64(HOLD_SHARE).min(OBJECTIVE);
         let is_early = passed < OBJECTIVE.mul_f64(EARLY_SHARE);
-        let patience = if is_early {
+        let max_queue_wait = if is_early {
             OBJECTIVE.mul_f64(EXPECTED_SHARE).saturating_sub(passed + request.service)
         } else {
             DEADLINE.saturating_sub(passed + request.service).min(hold.saturating_sub(passed))
@@ -291,10 +292,10 @@
             priority: 2,
             objective_at: arrived + OBJECTIVE,
             deadline: arrived + DEADLINE,
-            hold_until: arrived + hold,
-            patience,
+            queue_deadline: arrived + hold,
+            max_queue_wait,
             service: request.service,
-            is_later_try: false,
+            is_caller_retry: false,
             tenant: None,
             call: None,
         }
@@ -334,7 +335,7 @@
         if self.load.tells {
             queue.slowdown().on_word(now, percent).expect("a sensible figure");
         }
-        let usual = queue.slowdown().usual_time(now, taken);
+        let usual = queue.slowdown().normalized_time(now, taken);
         queue.finish(Some(usual));
         let mut report = queue.report(now);
         if !self.load.reaches_callers {
@@ -343,8 +344,8 @@
         let node = name_of(request.at);
         let caller = &mut self.callers[request.caller];
         caller.on_ended(now, &self.service, &node, Observation::Answered(report));
-        let times = AnswerTimes { served: taken, overhead: HOP * 2 };
-        caller.on_times(now, &self.service, &self.route, &node, times);
+        let times = ResponseTimes { served: taken, overhead: HOP * 2 };
+        caller.on_response_times(now, &self.service, &self.route, &node, times);
         self.count(&request);
         self.start_waiting(request.at);
     }
@@ -352,11 +353,11 @@
     fn start_waiting(&mut self, at: usize) {
         let now = self.at();
         while let Some(started) = self.back_ends[at].queue.start_next(now) {
-            let (Started::Run(ticket) | Started::Expire(ticket)) = started;
+            let (Dequeued::Run(ticket) | Dequeued::Expire(ticket)) = started;
             let number = self.back_ends[at].waiting.remove(&ticket).expect("it waits");
             match started {
-                Started::Run(_) => self.start(number),
-                Started::Expire(_) => self.on_refused(number),
+                Dequeued::Run(_) => self.start(number),
+                Dequeued::Expire(_) => self.on_refused(number),
             }
         }
     }
@@ -371,7 +372,7 @@
             report.slowdown_percent = 0;
         }
         for caller in &mut self.callers {
-            caller.on_present_report(now, &self.service, &name_of(number), report);
+            caller.on_fresh_report(now, &self.service, &name_of(number), report);
         }
         self.plan(self.load.news_every, Step::News(number));
     }
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -7,7 +7,8 @@
 use umberpond_model::{HomeRegions, Locality, NodeName, RouteName, ServiceName};
 use umberpond_scheduling::LoadReport;
 use umberpond_selection::{
-    AnswerTimes, Choice, DrawSettings, Endpoint, Observation, Query, ReleaseGroup, Selector, SelectorSettings,
+    Choice, Endpoint, Observation, Query, ReleaseGroup, ResponseTimes, SamplingSettings, Selector,
+    SelectorSettings,
 };
 
 const SLOTS: u32 = 4;
@@ -53,7 +54,7 @@
 
 impl World {
     fn new(count: usize) -> Self {
-        let settings = SelectorSettings { draw: DrawSettings::BY_SPEED, ..SelectorSettings::default() };
+        let settings = SelectorSettings { draw: SamplingSettings::BY_SPEED, ..SelectorSettings::default() };
         let mut selector = Selector::new(locality(), settings);
         let (service, now) = (name("archive"), Instant::now());
         selector.set_endpoints(now, &service, (0..count).map(endpoint).collect());
@@ -61,7 +62,7 @@
     }
 
     fn told(&mut self, number: usize, report: LoadReport) {
-        self.selector.on_present_report(self.now, &self.service, &node(number), report);
+        self.selector.on_fresh_report(self.now, &self.service, &node(number), report);
     }
 
     fn choose(&mut self) -> Choice {
@@ -126,8 +127,8 @@
         let slow = Observation::Answered(report(number, 1, 100, 250));
         world.selector.on_sent(&world.service, &node(0));
         world.selector.on_ended(world.now, &world.service, &node(0), slow);
-        let times = AnswerTimes { served: Duration::from_millis(250), overhead: Duration::ZERO };
-        world.selector.on_times(world.now, &world.service, &world.route, &node(0), times);
+        let times = ResponseTimes { served: Duration::from_millis(250), overhead: Duration::ZERO };
+        world.selector.on_response_times(world.now, &world.service, &world.route, &node(0), times);
     }
     assert_eq!(world.choose().service, Duration::from_millis(100));
     world.now += LONG;
