--- a/crates/forwarding/tests/outcomes.rs
+++ b/crates/forwarding/tests/outcomes.rs
@@ -1,4 +1,5 @@
-//! What is told about a request when something goes wrong: the truth, and no more.
+//! Tests of the outcome that is reported for a request after a fault: it must be true, and must not claim
+//! more than is known.
 
 mod support;
 
@@ -11,8 +12,8 @@
 
 const NOT_RUN: ScriptedResponse =
     ScriptedResponse::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
-const SPOILED: ScriptedResponse = ScriptedResponse::RawThenClose("this is no answer\r\n\r\n");
-const CUT: ScriptedResponse = ScriptedResponse::RawThenClose(
+const INVALID: ScriptedResponse = ScriptedResponse::RawThenClose("this is no answer\r\n\r\n");
+const TRUNCATED: ScriptedResponse = ScriptedResponse::RawThenClose(
     "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 100\r\n\r\nonly a part",
 );
 const UNSIGNED: ScriptedResponse =
@@ -23,105 +24,108 @@
 );
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_a_back_end_did_not_run_is_sent_to_another_whatever_its_kind() {
+async fn rejected_request_is_sent_to_another_back_end_even_if_not_idempotent() {
     const MISDIRECTED: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 421 Other\r\numberpond-serving-instance: other\r\nContent-Length: 0\r\n\r\n",
     );
     for path in ["/read/a", "/write/a"] {
         for refusal in [NOT_RUN, MISDIRECTED] {
             let world = World::with_routes(vec![vec![refusal.clone()], vec![refusal]]).await;
-            let answer = world.caller().await.ask(path, "r1").await;
-            assert_eq!(answer.status, 503, "both said that they did not run it");
-            assert!(answer.fields.contains("retry-after"));
+            let response = world.caller().await.ask(path, "r1").await;
+            assert_eq!(response.status, 503, "both back ends reported that they did not run it");
+            assert!(response.fields.contains("retry-after"));
             assert_eq!(world.arrivals(), 2);
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_idempotent_request_whose_answer_is_lost_is_sent_again() {
-    for trouble in [SPOILED, CUT, UNSIGNED, ENCODED] {
+async fn idempotent_request_with_a_lost_response_is_retried() {
+    for trouble in [INVALID, TRUNCATED, UNSIGNED, ENCODED] {
         let world = World::with_routes(vec![vec![trouble.clone(), ok("b")], vec![trouble, ok("b")]]).await;
-        let answer = world.caller().await.ask("/read/a", "r1").await;
-        // Each back end spoils its first answer: two attempts are all that the route allows.
-        assert_eq!(answer.status, 502);
+        let response = world.caller().await.ask("/read/a", "r1").await;
+        // The first response of each back end is invalid, and two attempts are all that the route allows.
+        assert_eq!(response.status, 502);
         assert_eq!(world.arrivals(), 2);
         assert_eq!(world.caller().await.ask("/read/a", "r2").await.text(), "b");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_must_not_repeat_is_sent_once_and_nothing_is_promised() {
-    for trouble in [SPOILED, CUT, UNSIGNED, ENCODED] {
+async fn non_idempotent_request_with_a_lost_response_is_sent_once_and_its_outcome_is_unknown() {
+    for trouble in [INVALID, TRUNCATED, UNSIGNED, ENCODED] {
         let world = World::with_routes(vec![vec![trouble.clone()], vec![trouble]]).await;
-        let answer = world.caller().await.ask("/write/a", "r1").await;
-        assert_eq!(answer.status, 502);
-        assert!(!answer.fields.contains("retry-after"));
+        let response = world.caller().await.ask("/write/a", "r1").await;
+        assert_eq!(response.status, 502);
+        assert!(!response.fields.contains("retry-after"));
         assert_eq!(world.arrivals(), 1);
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_failure_of_the_back_end_is_passed_on_if_the_request_must_not_repeat() {
+async fn failure_response_to_a_non_idempotent_request_is_forwarded() {
     let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
     let world = World::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
-    let answer = world.caller().await.ask("/write/a", "r1").await;
-    assert_eq!((answer.status, answer.text()), (500, "sorry"));
-    assert!(answer.fields.contains("x-proof"));
+    let response = world.caller().await.ask("/write/a", "r1").await;
+    assert_eq!((response.status, response.text()), (500, "sorry"));
+    assert!(response.fields.contains("x-proof"));
     assert_eq!(world.arrivals(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_second_answer_of_a_failing_back_end_is_the_last_one() {
+async fn failure_response_of_the_last_attempt_is_forwarded() {
     let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
     let world = World::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
-    let answer = world.caller().await.ask("/read/a", "r1").await;
-    assert_eq!((answer.status, answer.text()), (500, "sorry"));
+    let response = world.caller().await.ask("/read/a", "r1").await;
+    assert_eq!((response.status, response.text()), (500, "sorry"));
     assert_eq!(world.arrivals(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn silence_ends_at_the_time_of_the_route_without_a_promise() {
+async fn silent_back_end_ends_in_the_timeout_of_the_route_with_unknown_outcome() {
     let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
     let began = Instant::now();
-    let answer = world.caller().await.ask("/write/a", "r1").await;
-    assert_eq!(answer.status, 504);
+    let response = world.caller().await.ask("/write/a", "r1").await;
+    assert_eq!(response.status, 504);
     let taken = began.elapsed();
     assert!(taken > Duration::from_millis(1_900) && taken < Duration::from_millis(2_200), "{taken:?}");
     assert_eq!(world.arrivals(), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_that_waited_until_the_end_of_its_time_is_promised_not_to_have_run() {
+async fn request_that_timed_out_in_the_queue_is_reported_as_not_run() {
     let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_900 };
     let world = World::with_routes(vec![vec![slow]]).await;
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..3 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move { caller.ask("/write/a", &format!("r{number}")).await.status }));
+        pending.push(tokio::spawn(async move { caller.ask("/write/a", &format!("r{number}")).await.status }));
         pause(1).await;
     }
-    let mut told = Vec::new();
-    for asked in asking {
-        told.push(asked.await.unwrap());
+    let mut statuses = Vec::new();
+    for task in pending {
+        statuses.push(task.await.unwrap());
     }
-    // The third got a slot when there was hardly any time left, or none at all.
-    assert_eq!(told[..2], [200, 200]);
+    // The third request got a slot with hardly any time left, or none at all.
+    assert_eq!(statuses[..2], [200, 200]);
     let arrived = world.arrivals();
-    assert!((told[2] == 503 && arrived == 2) || (told[2] == 504 && arrived == 3), "{told:?} {arrived}");
+    assert!(
+        (statuses[2] == 503 && arrived == 2) || (statuses[2] == 504 && arrived == 3),
+        "{statuses:?} {arrived}"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_surplus_answer_in_the_place_of_the_next_is_passed_over() {
-    const TWICE: ScriptedResponse = ScriptedResponse::Raw(
+async fn duplicated_response_is_not_taken_for_that_of_the_next_request() {
+    const FIRST: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst",
     );
-    // The first answer is written a second time, just before the next one.
+    // The first response is written a second time, just before the next one.
     const LATE: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 200 OK\r\numberpond-request: r1\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst\
          HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 6\r\n\r\nsecond",
     );
-    let world = World::with_routes(vec![vec![TWICE, LATE]]).await;
+    let world = World::with_routes(vec![vec![FIRST, LATE]]).await;
     let mut caller = world.caller().await;
     assert_eq!(caller.ask("/write/a", "r1").await.text(), "first");
     assert_eq!(caller.ask("/write/a", "r2").await.text(), "second");
@@ -129,7 +133,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_after_a_whole_answer_belong_to_no_request() {
+async fn bytes_after_a_complete_response_are_not_taken_for_the_next_response() {
     const MORE: ScriptedResponse = ScriptedResponse::Raw(
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst\
          and more of it",
@@ -138,17 +142,17 @@
     let mut caller = world.caller().await;
     assert_eq!(caller.ask("/write/a", "r1").await.text(), "first");
     assert_eq!(caller.ask("/write/a", "r2").await.text(), "second");
-    assert_eq!(world.served[0].back_end.connections(), 2, "the first connection can't be trusted");
+    assert_eq!(world.served[0].back_end.connections(), 2, "the first connection must not be reused");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_without_a_length_is_whole_at_a_clean_end_and_at_no_other() {
+async fn response_without_length_is_complete_only_at_a_clean_close() {
     const UNFRAMED: ScriptedResponse = ScriptedResponse::RawThenClose(
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there is",
     );
     let world = World::with_routes(vec![vec![UNFRAMED]]).await;
-    let answer = world.caller().await.ask("/write/a", "r1").await;
-    assert_eq!((answer.status, answer.text()), (200, "all there is"));
+    let response = world.caller().await.ask("/write/a", "r1").await;
+    assert_eq!((response.status, response.text()), (200, "all there is"));
 
     const HELD: ScriptedResponse =
         ScriptedResponse::Raw("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there");
@@ -156,29 +160,29 @@
     let mut caller = world.caller().await;
     caller.send("/write/a", "r1").await;
     pause(100).await;
-    // The back end's machine resets its connections; so is the connection between the two nodes.
+    // The back end's machine resets its connections, including the one between the two nodes.
     world.network.reset(host(10));
     assert_eq!(caller.read().await.unwrap().status, 502);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_early_answer_is_passed_on_and_the_rest_of_the_body_reaches_nobody() {
+async fn early_response_is_forwarded_and_the_connection_is_not_reused() {
     let early = ScriptedResponse::EarlyAnswer { status: 413, body: "too long for me" };
     let world = World::with_routes(vec![vec![early, ok("next")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
     caller.write(format!("{head}Content-Length: 500000\r\n\r\n")).await;
     caller.write(vec![b'x'; 300_000]).await;
-    let answer = caller.read().await.unwrap();
-    assert_eq!((answer.status, answer.text()), (413, "too long for me"));
-    let answer = world.caller().await.ask("/write/a", "r2").await;
-    assert_eq!(answer.text(), "next");
+    let response = caller.read().await.unwrap();
+    assert_eq!((response.status, response.text()), (413, "too long for me"));
+    let response = world.caller().await.ask("/write/a", "r2").await;
+    assert_eq!(response.text(), "next");
     let seen = world.served[0].back_end.seen();
-    assert_eq!(seen.last().unwrap().connection, 2, "the rest of the body is still due on the first");
+    assert_eq!(seen.last().unwrap().connection, 2, "the first connection still expects the rest of the body");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_that_breaks_off_runs_nothing_more_and_the_caller_is_gone() {
+async fn truncated_request_body_never_reaches_a_back_end() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
@@ -189,17 +193,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_dead_node_is_found_out_and_the_request_goes_elsewhere() {
+async fn requests_to_a_dead_node_are_sent_elsewhere() {
     let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     world.network.kill(host(10));
     for number in 0..5 {
-        let answer = world.caller().await.ask("/write/a", &format!("r{number}")).await;
-        assert_eq!((answer.status, answer.text()), (200, "b"));
+        let response = world.caller().await.ask("/write/a", &format!("r{number}")).await;
+        assert_eq!((response.status, response.text()), (200, "b"));
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_dies_with_a_request_leaves_its_outcome_unknown() {
+async fn node_crash_during_a_request_leaves_its_outcome_unknown() {
     let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_000 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
@@ -210,7 +214,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_leaves_ends_the_work_at_the_back_end() {
+async fn caller_disconnect_cancels_the_request_at_the_back_end() {
     let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_500 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
@@ -227,7 +231,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_caller_that_leaves_with_pipelined_requests_behind_ends_them_all() {
+async fn caller_disconnect_cancels_all_pipelined_requests() {
     let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_500 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
@@ -240,24 +244,24 @@
     let load = world.served[0].inbound.load();
     assert_eq!((load.running, load.waiting), (0, 0));
     pause(2_000).await;
-    assert_eq!(world.arrivals(), 2, "only those that had a slot ever ran");
+    assert_eq!(world.arrivals(), 2, "only requests that had a slot may run");
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_retry_budget_bounds_what_is_sent_again() {
+async fn retries_stay_within_the_retry_budget() {
     let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
     let budget = RetryBudgetSettings { ratio: 0.2, extra: 100.0, window: Duration::from_secs(10) };
     let world = World::with_budget(vec![vec![failed.clone()], vec![failed]], budget).await;
     world.outbound.set_sharing_nodes(1);
     let mut caller = world.caller().await;
     caller.ask("/read/a", "first").await;
-    assert_eq!(world.arrivals(), 1, "a process that has just started has saved nothing");
+    assert_eq!(world.arrivals(), 1, "a process that has just started has no saved budget");
     pause(10_000).await;
     let began = Instant::now();
     for number in 0..300 {
         caller.ask("/read/a", &format!("r{number}")).await;
     }
-    // Half of the extra was saved, the other half comes in meanwhile, and each request earns a tenth.
+    // Half of the extra budget was saved, the other half accrues meanwhile, and each request adds a tenth.
     let saved = 50.0 + 30.0 + 50.0 * began.elapsed().as_secs_f64() / 10.0;
     let repeats = u32::try_from(world.arrivals() - 301).unwrap();
     assert!((saved - 2.0..=saved).contains(&f64::from(repeats)), "{repeats} of {saved}");
--- a/crates/forwarding/tests/overload.rs
+++ b/crates/forwarding/tests/overload.rs
@@ -1,4 +1,4 @@
-//! More requests than a back end can answer in time.
+//! Tests with more requests than a back end can serve in time.
 
 mod support;
 
@@ -9,143 +9,151 @@
 use umberpond_config::{Entry, RequestClass, Route, RoutePolicy};
 use umberpond_model::Millis;
 
-/// Time that the back end takes for a request, in milliseconds. It has two slots, and the objective is 500 ms.
+/// Service time of the back end in milliseconds. It has two slots, and the objective is 500 ms.
 const WORK_MILLIS: u64 = 100;
 
-/// What became of one request.
+/// Outcome of one request.
 struct Outcome {
     status: u16,
     millis: u128,
-    says_when_to_come_back: bool,
+    has_retry_after: bool,
 }
 
-/// Were all admitted that are expected to be answered at the very end of the objective, half of them would be late,
-/// and a full queue would be no better than a short one.
+/// Guards against admitting every request that is expected to get its response at the very end of the
+/// objective: half of them would be late, and a full queue would be no better than a short one.
 #[tokio::test(start_paused = true)]
-async fn under_overload_answers_come_well_inside_the_objective_and_refusals_at_once() {
+async fn overload_does_not_delay_responses_to_the_objective_nor_refusals() {
     let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::with_routes(vec![vec![act]]).await;
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
     }
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..14 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move {
+        pending.push(tokio::spawn(async move {
             let began = Instant::now();
-            let answer = caller.ask("/read/a", &format!("r{number}")).await;
+            let response = caller.ask("/read/a", &format!("r{number}")).await;
             Outcome {
-                status: answer.status,
+                status: response.status,
                 millis: began.elapsed().as_millis(),
-                says_when_to_come_back: answer.fields.contains("retry-after"),
+                has_retry_after: response.fields.contains("retry-after"),
             }
         }));
     }
     let mut answered = 0;
-    for asked in asking {
-        let outcome = asked.await.unwrap();
+    for handle in pending {
+        let outcome = handle.await.unwrap();
         if outcome.status == 200 {
             answered += 1;
-            assert!(outcome.millis <= 375, "{} ms is near the end of the objective", outcome.millis);
+            assert!(
+                outcome.millis <= 375,
+                "a response after {} ms is near the end of the objective",
+                outcome.millis
+            );
         } else {
             assert_eq!(outcome.status, 503);
-            assert!(outcome.says_when_to_come_back);
+            assert!(outcome.has_retry_after);
             assert!(outcome.millis <= 20, "refused after {} ms", outcome.millis);
         }
     }
-    assert!((4..=7).contains(&answered), "{answered} were answered");
+    assert!((4..=7).contains(&answered), "{answered} requests got a response");
 }
 
-/// A caller has a few tries. Refused at once and told to come back soon, it spends them all while the service is full.
+/// Guards against callers that spend all their few tries while the service is full, because they are refused
+/// at once and asked to retry soon.
 #[tokio::test(start_paused = true)]
-async fn the_tries_of_a_refused_caller_are_spread_over_its_time() {
+async fn retry_delays_of_refused_callers_are_spread_over_their_timeout() {
     let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::with_routes(vec![vec![act]]).await;
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
     }
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..40 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move {
-            caller.write(with_time("/read/a", &format!("r{number}"), 2_400)).await;
+        pending.push(tokio::spawn(async move {
+            caller.write(request_with_timeout("/read/a", &format!("r{number}"), 2_400)).await;
             caller.read().await.unwrap()
         }));
     }
-    let mut told = Vec::new();
-    for asked in asking {
-        let answer = asked.await.unwrap();
-        if answer.status == 503 {
-            told.push(answer.fields.text("retry-after").unwrap().parse::<f64>().unwrap());
+    let mut delays = Vec::new();
+    for handle in pending {
+        let response = handle.await.unwrap();
+        if response.status == 503 {
+            delays.push(response.fields.text("retry-after").unwrap().parse::<f64>().unwrap());
         }
     }
-    assert!(told.len() > 20);
-    assert!(told.iter().all(|after| (0.5..=0.8).contains(after)), "{told:?}");
-    let (first, last) = told.iter().fold((f64::MAX, 0.0_f64), |(low, high), x| (low.min(*x), high.max(*x)));
-    assert!(last - first > 0.1, "all come back together: {first} to {last}");
+    assert!(delays.len() > 20);
+    assert!(delays.iter().all(|after| (0.5..=0.8).contains(after)), "{delays:?}");
+    let (first, last) = delays.iter().fold((f64::MAX, 0.0_f64), |(low, high), x| (low.min(*x), high.max(*x)));
+    assert!(last - first > 0.1, "all callers would retry together: {first} to {last}");
 }
 
-/// An answer to a first try is of full use, one to a later try only of part: its caller has waited before.
+/// A response to a first try is of full use. One to a retry is only of partial use, since the caller has
+/// waited before.
 #[tokio::test(start_paused = true)]
-async fn a_first_try_goes_before_a_later_one_and_callers_with_other_times_are_no_later_tries() {
+async fn first_tries_precede_retries_and_short_timeouts_are_not_taken_for_retries() {
     let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::with_routes(vec![vec![act]]).await;
-    // Two kinds of callers, which wait for 2.4 and for 1.2 s.
+    // Two kinds of callers, with timeouts of 2.4 and 1.2 s.
     for number in 0..40 {
         let time = if number % 2 == 0 { 2_400 } else { 1_200 };
-        assert_eq!(start_asking(&world, format!("w{number}"), time).await.await.unwrap().0, 200);
+        assert_eq!(start_request(&world, format!("w{number}"), time).await.await.unwrap().0, 200);
     }
     for (number, (waits_first, waits_next, next_is_first)) in
         [(1_730, 2_400, true), (1_730, 1_200, true), (1_200, 2_400, false)].into_iter().enumerate()
     {
         let mut busy = Vec::new();
         for slot in 0..3 {
-            busy.push(start_asking(&world, format!("b{number}-{slot}"), 2_400).await);
+            busy.push(start_request(&world, format!("b{number}-{slot}"), 2_400).await);
         }
         support::pause(5).await;
-        let first = start_asking(&world, format!("f{number}"), waits_first).await;
+        let first = start_request(&world, format!("f{number}"), waits_first).await;
         support::pause(5).await;
-        let next = start_asking(&world, format!("n{number}"), waits_next).await;
+        let next = start_request(&world, format!("n{number}"), waits_next).await;
         let (first, next) = (first.await.unwrap(), next.await.unwrap());
         assert_eq!((first.0, next.0), (200, 200));
-        assert_eq!(next.1 < first.1, next_is_first, "{waits_first} before {waits_next}");
+        assert_eq!(next.1 < first.1, next_is_first, "timeouts of {waits_first} and {waits_next} ms");
         for busy in busy {
             busy.await.unwrap();
         }
     }
 }
 
-/// A request that came late, since other nodes were tried first, waits as long as that helps: not to its caller's end.
+/// Guards against queueing a request that arrived late, after other nodes were tried, until its caller's
+/// timeout: it waits only as long as that helps.
 #[tokio::test(start_paused = true)]
-async fn no_request_is_held_untried_for_more_than_half_of_its_callers_time() {
+async fn late_request_is_not_queued_beyond_half_of_its_callers_timeout() {
     let act = ScriptedResponse::Answer { status: 200, body: "a", after: 1_900 };
     let world = World::with_routes(vec![vec![act], vec![support::back_end::ok("b")]]).await;
-    // The second node is silent: to find that out takes 300 ms, and the refusal would no longer come early.
+    // The second node is silent. Detecting that takes 300 ms, so the refusal would no longer be early.
     world.network.cut(support::host(1), support::host(11));
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..12 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move {
+        pending.push(tokio::spawn(async move {
             let began = Instant::now();
-            caller.write(with_time("/read/a", &format!("r{number}"), 2_000)).await;
-            let answer = caller.read().await.unwrap();
-            (answer.status, began.elapsed().as_millis())
+            caller.write(request_with_timeout("/read/a", &format!("r{number}"), 2_000)).await;
+            let response = caller.read().await.unwrap();
+            (response.status, began.elapsed().as_millis())
         }));
     }
     let mut refused = 0;
-    for asked in asking {
-        let (status, taken) = asked.await.unwrap();
+    for handle in pending {
+        let (status, taken) = handle.await.unwrap();
         if status == 503 {
             refused += 1;
-            assert!(taken <= 1_000, "refused after {taken} ms of 2,000");
+            assert!(taken <= 1_000, "refused after {taken} ms of a 2,000 ms timeout");
         }
     }
-    assert!(refused >= 6, "{refused} were refused");
+    assert!(refused >= 6, "{refused} requests were refused");
 }
 
-/// What is expected of a request of which nothing is known must not keep it from being tried: then nothing is ever known.
+/// Guards against a default expectation that keeps requests from being tried: then no service time would ever
+/// be measured.
 #[tokio::test(start_paused = true)]
-async fn a_route_whose_objective_exceeds_its_callers_time_is_served_from_the_first_request_on() {
+async fn objective_beyond_the_callers_timeout_does_not_block_the_first_requests() {
     let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::new(vec![vec![act]]).await;
     let mut snapshot = support::snapshot();
@@ -156,32 +164,35 @@
     world.activate(1, &snapshot);
     for number in 0..3 {
         let mut caller = world.caller().await;
-        caller.write(with_time("/read/a", &format!("r{number}"), 3_000)).await;
+        caller.write(request_with_timeout("/read/a", &format!("r{number}"), 3_000)).await;
         assert_eq!(caller.read().await.unwrap().status, 200);
     }
 }
 
-/// Rank 0 is served first, but its callers do no better with a late answer than others: lookups of rank 0, each of which waited as long as it could, were
-/// answered late 5,625 times on a day of overload (docs/design/0114). Without this 11 of 14 are answered here.
+/// Guards against requests of priority 0 that wait as long as they can and are late. Priority 0 is served
+/// first, but its callers gain no more from a late response than others. On a day of overload, lookups of
+/// priority 0 got a late response 5,625 times (docs/design/0114). Without the limit on waiting, 11 of the 14
+/// requests get a response here.
 #[tokio::test(start_paused = true)]
-async fn the_first_rank_is_refused_at_once_where_it_would_be_late() {
-    let outcomes = ask_with_rank_0(RequestClass::Status).await;
+async fn requests_of_priority_0_are_refused_at_once_if_they_would_be_late() {
+    let outcomes = send_with_priority_0(RequestClass::Status).await;
     let (answered, refused): (Vec<_>, Vec<_>) = outcomes.iter().partition(|outcome| outcome.status == 200);
-    assert!((4..=7).contains(&answered.len()), "{} were answered", answered.len());
+    assert!((4..=7).contains(&answered.len()), "{} requests got a response", answered.len());
     assert!(answered.iter().all(|outcome| outcome.millis <= 375));
-    assert!(refused.iter().all(|outcome| outcome.millis <= 20 && outcome.says_when_to_come_back));
+    assert!(refused.iter().all(|outcome| outcome.millis <= 20 && outcome.has_retry_after));
 }
 
-/// Other requests depend on those of an internal route: refused they would fail those, which has cost more than to be late.
+/// Other requests depend on those of an internal route and would fail if these were refused, which has cost
+/// more than a late response.
 #[tokio::test(start_paused = true)]
-async fn requests_of_an_internal_route_wait_as_long_as_they_can() {
-    let outcomes = ask_with_rank_0(RequestClass::Internal).await;
+async fn requests_of_an_internal_route_wait_instead_of_being_refused() {
+    let outcomes = send_with_priority_0(RequestClass::Internal).await;
     let answered = outcomes.iter().filter(|outcome| outcome.status == 200).count();
-    assert!(answered >= 8, "{answered} were answered");
+    assert!(answered >= 8, "{answered} requests got a response");
 }
 
-/// Sends 14 requests of rank 0 at once, which are seven times the slots.
-async fn ask_with_rank_0(class: RequestClass) -> Vec<Outcome> {
+/// Sends 14 concurrent requests of priority 0, seven times the number of slots.
+async fn send_with_priority_0(class: RequestClass) -> Vec<Outcome> {
     let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
     let world = World::new(vec![vec![act]]).await;
     let mut snapshot = support::snapshot();
@@ -193,37 +204,37 @@
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
     }
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..14 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move {
+        pending.push(tokio::spawn(async move {
             let began = Instant::now();
-            let answer = caller.ask("/read/a", &format!("r{number}")).await;
+            let response = caller.ask("/read/a", &format!("r{number}")).await;
             Outcome {
-                status: answer.status,
+                status: response.status,
                 millis: began.elapsed().as_millis(),
-                says_when_to_come_back: answer.fields.contains("retry-after"),
+                has_retry_after: response.fields.contains("retry-after"),
             }
         }));
     }
     let mut outcomes = Vec::new();
-    for asked in asking {
-        outcomes.push(asked.await.unwrap());
+    for handle in pending {
+        outcomes.push(handle.await.unwrap());
     }
     outcomes
 }
 
-/// Sends a request whose caller waits for `time` ms; tells the status of its answer, and when it came.
-async fn start_asking(world: &World, id: String, time: u64) -> JoinHandle<(u16, Instant)> {
+/// Sends a request whose caller waits for `time` ms. Returns the status of the response and when it arrived.
+async fn start_request(world: &World, id: String, time: u64) -> JoinHandle<(u16, Instant)> {
     let mut caller = world.caller().await;
     tokio::spawn(async move {
-        caller.write(with_time("/read/a", &id, time)).await;
-        let answer = caller.read().await.unwrap();
-        (answer.status, Instant::now())
+        caller.write(request_with_timeout("/read/a", &id, time)).await;
+        let response = caller.read().await.unwrap();
+        (response.status, Instant::now())
     })
 }
 
-fn with_time(path: &str, id: &str, millis: u64) -> String {
+fn request_with_timeout(path: &str, id: &str, millis: u64) -> String {
     format!(
         "GET {path} HTTP/1.1\r\nHost: x.example\r\numberpond-request: {id}\r\numberpond-deadline: {millis}\r\n\r\n"
     )
--- a/crates/forwarding/tests/path.rs
+++ b/crates/forwarding/tests/path.rs
@@ -1,4 +1,4 @@
-//! The whole path of requests that meet no trouble.
+//! Tests of the complete request path without faults.
 
 mod support;
 
@@ -9,18 +9,18 @@
 use umberpond_config::{Destination, Entry};
 
 #[tokio::test(start_paused = true)]
-async fn a_request_reaches_the_back_end_and_its_answer_the_caller() {
+async fn request_and_response_pass_through_both_nodes() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let mut caller = world.caller().await;
     let request = "POST /write/a%20b?c=d HTTP/1.1\r\nHost: x.example:80\r\numberpond-request: r1\r\n\
                    umberpond-deadline: 1500\r\nX-Own: kept\r\nConnection: keep-alive, X-Gone\r\nX-Gone: 1\r\n\
                    Content-Length: 4\r\n\r\nbody";
     caller.write(request).await;
-    let answer = caller.read().await.unwrap();
-    assert_eq!((answer.status, answer.text()), (200, "whole"));
-    assert_eq!(answer.fields.text("x-proof"), Some("proof-of-life-10"));
-    assert_eq!(answer.fields.text("kept"), Some("yes"));
-    assert_eq!(answer.fields.text("umberpond-request"), Some("r1"));
+    let response = caller.read().await.unwrap();
+    assert_eq!((response.status, response.text()), (200, "whole"));
+    assert_eq!(response.fields.text("x-proof"), Some("proof-of-life-10"));
+    assert_eq!(response.fields.text("kept"), Some("yes"));
+    assert_eq!(response.fields.text("umberpond-request"), Some("r1"));
     let [seen] = &world.served[0].back_end.seen()[..] else { panic!("one request") };
     assert_eq!((&seen.head.method[..], &seen.head.target[..]), (&b"POST"[..], &b"/write/a%20b?c=d"[..]));
     assert_eq!(seen.body, b"body");
@@ -35,7 +35,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_caller_says_under_reserved_names_is_dropped() {
+async fn reserved_header_fields_of_callers_are_removed() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let mut caller = world.caller().await;
     caller
@@ -57,7 +57,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_chunked_body_and_a_long_one_arrive_whole() {
+async fn chunked_and_long_request_bodies_arrive_complete() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
@@ -74,7 +74,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_that_comes_slowly_is_passed_on_as_it_comes() {
+async fn slow_response_is_streamed_before_it_is_complete() {
     let slowly = ScriptedResponse::Slowly {
         first: "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 10\r\n\r\nfirst",
         second: "other",
@@ -86,13 +86,13 @@
     caller.send("/read/a", "r1").await;
     let head = caller.read_head().await;
     assert_eq!(head.status, 200);
-    assert!(began.elapsed().as_millis() < 300, "the head does not wait for the body");
+    assert!(began.elapsed().as_millis() < 300, "the head must not wait for the body");
     assert_eq!(caller.read_rest(&head).await.unwrap(), b"firstother");
     assert!(began.elapsed().as_millis() >= 1_000);
 }
 
 #[tokio::test(start_paused = true)]
-async fn pipelined_requests_run_at_once_and_are_answered_in_order() {
+async fn pipelined_requests_run_concurrently_and_replies_keep_their_order() {
     let slow = ScriptedResponse::Answer { status: 200, body: "slow", after: 300 };
     let world = World::with_routes(vec![vec![slow, ok("quick")]]).await;
     let mut caller = world.caller().await;
@@ -102,45 +102,49 @@
     let second = caller.read().await.unwrap();
     assert_eq!((first.text(), second.text()), ("slow", "quick"));
     assert_eq!(second.fields.text("umberpond-request"), Some("r2"));
-    assert!(began.elapsed().as_millis() < 330, "the second did not wait for the first");
+    assert!(began.elapsed().as_millis() < 330, "the second request must not wait for the first");
     let seen = world.served[0].back_end.seen();
     assert!(seen[1].at - seen[0].at < std::time::Duration::from_millis(50));
 }
 
 #[tokio::test(start_paused = true)]
-async fn connections_are_kept_and_the_back_end_never_gets_more_than_its_slots() {
+async fn back_end_connections_are_reused_and_never_exceed_its_slots() {
     let world =
         World::with_routes(vec![vec![ScriptedResponse::Answer { status: 200, body: "a", after: 50 }]]).await;
-    // While nothing is known of the back end's speed, a part of eight requests at once is refused.
+    // As long as the speed of the back end is unknown, some of eight concurrent requests are refused.
     for number in 0..3 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
     }
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..8 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move { caller.ask("/read/a", &format!("r{number}")).await.status }));
+        pending.push(tokio::spawn(async move { caller.ask("/read/a", &format!("r{number}")).await.status }));
     }
-    for asked in asking {
-        assert_eq!(asked.await.unwrap(), 200);
+    for task in pending {
+        assert_eq!(task.await.unwrap(), 200);
     }
     assert_eq!(world.served[0].back_end.connections(), SLOTS as usize);
 }
 
 #[tokio::test(start_paused = true)]
-async fn no_configuration_is_no_reason_to_deny_a_route() {
+async fn missing_configuration_is_not_reported_as_missing_route() {
     let world = World::new(vec![vec![ok("whole")]]).await;
-    let answer = world.caller().await.ask("/read/a", "r1").await;
-    assert_eq!(answer.status, 503);
-    assert!(answer.fields.contains("retry-after"));
-    assert_eq!(answer.fields.text("umberpond-request"), Some("r1"));
+    let response = world.caller().await.ask("/read/a", "r1").await;
+    assert_eq!(response.status, 503);
+    assert!(response.fields.contains("retry-after"));
+    assert_eq!(response.fields.text("umberpond-request"), Some("r1"));
     world.activate(1, &snapshot());
     assert_eq!(world.caller().await.ask("/read/a", "r2").await.status, 200);
     assert_eq!(world.caller().await.ask("/other/a", "r3").await.status, 404);
-    assert_eq!(world.caller().await.ask("/read", "r4").await.status, 404, "a prefix ends with its slash");
+    assert_eq!(
+        world.caller().await.ask("/read", "r4").await.status,
+        404,
+        "the prefix includes its trailing slash"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_longest_prefix_wins_and_parts_get_their_share() {
+async fn longest_prefix_wins_and_the_split_follows_the_weights() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let mut changed = snapshot();
     let mut inner = route("/read/inner/", true);
@@ -153,8 +157,8 @@
     let mut caller = world.caller().await;
     let mut served = 0;
     for number in 0..200 {
-        let answer = caller.ask("/read/inner/a", &format!("r{number}")).await;
-        served += u32::from(answer.status == 200);
+        let response = caller.ask("/read/inner/a", &format!("r{number}")).await;
+        served += u32::from(response.status == 200);
     }
     // `billing` has no back end here, so its share is refused.
     assert!((130..=170).contains(&served), "{served}");
@@ -162,7 +166,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_older_version_never_replaces_a_newer_one() {
+async fn older_configuration_never_replaces_a_newer_one() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     world.activate(9, &snapshot());
     let table = umberpond_forwarding::RoutingTable::compile(
@@ -176,7 +180,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bad_requests_are_answered_and_their_connection_ends() {
+async fn invalid_requests_get_an_error_and_their_connection_is_closed() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let long = "y".repeat(5_000);
     for (bytes, status) in [
@@ -191,16 +195,16 @@
     ] {
         let mut caller = world.caller().await;
         caller.write(&bytes).await;
-        let answer = caller.read().await.unwrap();
-        assert_eq!(answer.status, status, "{bytes:.30}");
-        assert_eq!(answer.fields.text("connection"), Some("close"));
+        let response = caller.read().await.unwrap();
+        assert_eq!(response.status, status, "{bytes:.30}");
+        assert_eq!(response.fields.text("connection"), Some("close"));
         assert!(caller.read().await.is_none());
     }
     assert_eq!(world.arrivals(), 0);
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_idle_connection_ends_after_the_time_of_the_configuration() {
+async fn idle_connection_is_closed_after_the_configured_timeout() {
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let mut changed = snapshot();
     changed.limits.idle_time = umberpond_model::Millis(5_000);
@@ -213,9 +217,10 @@
     assert!(caller.read().await.is_none());
 }
 
-/// A node whose callers can open no further connection has to say so, or new ones are sent to it and wait.
+/// Guards against a node that can't accept further connections but doesn't report it: new callers would still
+/// be sent to it and wait.
 #[tokio::test(start_paused = true)]
-async fn a_node_that_accepts_no_further_connection_knows_it() {
+async fn listener_at_its_connection_limit_reports_that_it_is_full() {
     const MOST_CONNECTIONS: usize = 1_500;
     let world = World::with_routes(vec![vec![ok("whole")]]).await;
     let mut callers = Vec::new();
--- a/crates/forwarding/tests/rejections.rs
+++ b/crates/forwarding/tests/rejections.rs
@@ -1,5 +1,6 @@
-//! All back ends of a service turn a part of what arrives away, though their slots are free. A request that was turned away has not run, so the bound
-//! of its route on runs is not used up, and another back end may take it.
+//! Tests of a service whose back ends all reject a part of the requests although they have free slots. A
+//! rejected request has not run, so the route's limit on runs is not used up, and another back end may take
+//! it.
 
 mod support;
 
@@ -9,13 +10,13 @@
 
 const REJECTED: ScriptedResponse =
     ScriptedResponse::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
-const SPOILED: ScriptedResponse = ScriptedResponse::RawThenClose("this is no answer\r\n\r\n");
-/// Back ends that may run one request, by the routes of the tests.
+const INVALID: ScriptedResponse = ScriptedResponse::RawThenClose("this is no answer\r\n\r\n");
+/// Number of back ends that may run one request on the routes of these tests.
 const ATTEMPTS: usize = 2;
-/// Most back ends at which a request arrives.
+/// Maximum number of back ends that a request reaches.
 const MAX_ARRIVALS: usize = 4;
 
-/// One back end that does as told, beside `count` that turn everything away.
+/// One back end that acts as given, and `count` that reject everything.
 async fn world(count: usize, act: ScriptedResponse) -> World {
     let mut scripts = vec![vec![REJECTED]; count];
     scripts.push(vec![act]);
@@ -23,33 +24,33 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn back_ends_that_turn_a_request_away_do_not_use_up_the_runs_of_its_route() {
+async fn rejections_do_not_use_up_the_runs_of_the_route() {
     for path in ["/read/a", "/write/a"] {
         let world = world(ATTEMPTS + 1, ok("a")).await;
         for number in 0..20 {
-            let answer = world.caller().await.ask(path, &format!("r{number}")).await;
-            assert_eq!((answer.status, answer.text()), (200, "a"), "{path} {number}");
+            let response = world.caller().await.ask(path, &format!("r{number}")).await;
+            assert_eq!((response.status, response.text()), (200, "a"), "{path} {number}");
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_arrives_at_four_back_ends_at_most() {
+async fn rejected_request_reaches_four_back_ends_at_most() {
     let world = World::with_routes(vec![vec![REJECTED]; MAX_ARRIVALS + 3]).await;
-    let answer = world.caller().await.ask("/read/a", "r1").await;
-    assert_eq!(answer.status, 503);
+    let response = world.caller().await.ask("/read/a", "r1").await;
+    assert_eq!(response.status, 503);
     assert_eq!(world.arrivals(), MAX_ARRIVALS);
 }
 
 #[tokio::test(start_paused = true)]
-async fn runs_stay_bounded_by_the_route_when_others_have_turned_the_request_away() {
+async fn runs_stay_within_the_limit_of_the_route_after_rejections() {
     let mut scripts = vec![vec![REJECTED]; 2];
-    scripts.extend(vec![vec![SPOILED]; 4]);
+    scripts.extend(vec![vec![INVALID]; 4]);
     let world = World::with_routes(scripts).await;
     for number in 0..20 {
         let before = world.arrivals();
-        let answer = world.caller().await.ask("/read/a", &format!("r{number}")).await;
-        assert_eq!(answer.status, 502);
+        let response = world.caller().await.ask("/read/a", &format!("r{number}")).await;
+        assert_eq!(response.status, 502);
         assert!(world.arrivals() - before <= MAX_ARRIVALS);
     }
     for served in &world.served[2..] {
@@ -65,7 +66,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_rejection_with_slots_free_and_one_without_have_reasons_of_their_own() {
+async fn rejections_with_and_without_free_slots_have_different_reasons() {
     const SLOW_REJECTED: ScriptedResponse = ScriptedResponse::Slowly {
         first: "",
         second: "HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n",
@@ -73,13 +74,13 @@
     };
     let world = World::with_routes(vec![vec![SLOW_REJECTED]]).await;
     world.caller().await.ask("/read/a", "alone").await;
-    let mut asking = Vec::new();
+    let mut pending = Vec::new();
     for number in 0..SLOTS {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move { caller.ask("/read/a", &format!("r{number}")).await }));
+        pending.push(tokio::spawn(async move { caller.ask("/read/a", &format!("r{number}")).await }));
     }
-    for asked in asking {
-        assert_eq!(asked.await.unwrap().status, 503);
+    for task in pending {
+        assert_eq!(task.await.unwrap().status, 503);
     }
     pause(1_000).await;
     let reasons: Vec<&str> = world.recorder.events().into_iter().filter_map(reason).collect();
@@ -95,31 +96,31 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn callers_come_back_from_a_fault_within_their_objective() {
+async fn retry_delays_after_a_fault_are_within_the_objective() {
     // The objective is 500 ms.
     let world = World::with_routes(vec![vec![REJECTED]; 2]).await;
-    let mut told = Vec::new();
+    let mut delays = Vec::new();
     for number in 0..40 {
-        let answer = world.caller().await.ask("/read/a", &format!("r{number}")).await;
-        assert_eq!(answer.status, 503);
-        told.push(answer.fields.text("retry-after").unwrap().parse::<f64>().unwrap());
+        let response = world.caller().await.ask("/read/a", &format!("r{number}")).await;
+        assert_eq!(response.status, 503);
+        delays.push(response.fields.text("retry-after").unwrap().parse::<f64>().unwrap());
     }
-    assert!(told.iter().all(|after| (0.005..=0.25).contains(after)), "{told:?}");
-    let (first, last) = told.iter().fold((f64::MAX, 0.0_f64), |(low, high), x| (low.min(*x), high.max(*x)));
-    assert!(last - first > 0.03, "all come back together: {first} to {last}");
+    assert!(delays.iter().all(|after| (0.005..=0.25).contains(after)), "{delays:?}");
+    let (first, last) = delays.iter().fold((f64::MAX, 0.0_f64), |(low, high), x| (low.min(*x), high.max(*x)));
+    assert!(last - first > 0.03, "all callers would retry together: {first} to {last}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_a_refused_caller_was_told_is_logged() {
+async fn retry_delay_of_a_refused_caller_is_logged() {
     let world = World::with_routes(vec![vec![REJECTED]; 2]).await;
     world.caller().await.ask("/read/a", "r1").await;
-    let told = |event: &Event| match event {
+    let logged_delay = |event: &Event| match event {
         Event::ComeBackTold { request, reason, after_millis, objective_left_millis, .. } => {
             Some((request.clone(), *reason, *after_millis, *objective_left_millis))
         }
         _ => None,
     };
-    let lines: Vec<_> = world.recorder.events().iter().filter_map(told).collect();
+    let lines: Vec<_> = world.recorder.events().iter().filter_map(logged_delay).collect();
     let [(request, reason, after, left)] = &lines[..] else { panic!("{lines:?}") };
     assert_eq!((request.as_str(), *reason), ("r1", "back-end-rejected"));
     assert!(after < left && *left < 500, "after {after} of {left} ms");
