--- a/crates/quarantine/src/finding.rs
+++ b/crates/quarantine/src/finding.rs
@@ -1,16 +1,17 @@
-//! What is known of a request and the ends of back ends, as nodes tell it one another.
+//! Findings about requests and crashes, as nodes exchange them.
 
 use bitcode::{Decode, Encode};
 
 use crate::fingerprint::RequestFingerprint;
 
-/// One end of a back end.
+/// Identity of one crash of a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct CrashId(pub u64);
 
 impl CrashId {
-    /// The end of the life called `instance` while the requests called `requests` ran there, in any order. Their identities are new with each attempt, so no other
-    /// end is taken for this one, also if the back end comes back under the same name.
+    /// Identity of the crash of the process `instance` while `requests` ran there, in any order. Requests
+    /// have a new identity for each attempt, so that two crashes never have the same identity, even if the
+    /// back end restarts under the same name.
     pub fn of<'a>(instance: &str, requests: impl Iterator<Item = &'a [u8]>) -> Self {
         let mut requests: Vec<&[u8]> = requests.collect();
         requests.sort_unstable();
@@ -26,22 +27,23 @@
     }
 }
 
-/// What an end of a back end says of a request that ran there. The greater one wins wherever two are joined.
+/// Finding about a request that ran at a back end that crashed. Where two findings are merged, the greater
+/// one wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Finding {
-    /// It may have been the cause.
+    /// The request may have caused the crash.
     Blamed,
-    /// It was not: a back end has answered it since.
+    /// The request did not cause the crash, since a back end has responded to it afterwards.
     Cleared,
 }
 
-/// All that a node knows of one fingerprint.
+/// All findings of a node about one fingerprint.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct SuspectRecord {
-    /// The fingerprint.
+    /// Fingerprint of the suspect request.
     pub fingerprint: RequestFingerprint,
-    /// The ends that it was found at.
+    /// Crashes at which it was running, with the finding about each.
     pub findings: Vec<(CrashId, Finding)>,
-    /// Time in milliseconds since the last end that it was blamed for.
+    /// Time in milliseconds since the last crash that it was blamed for.
     pub age_millis: u32,
 }
--- a/crates/quarantine/src/fingerprint.rs
+++ b/crates/quarantine/src/fingerprint.rs
@@ -1,4 +1,4 @@
-//! What is the same of a request each time it is sent.
+//! Request fingerprints, which are the same for every attempt of a request.
 
 use std::fmt;
 use std::str::FromStr;
@@ -6,66 +6,68 @@
 use bitcode::{Decode, Encode};
 use thiserror::Error;
 
-/// Bytes of a body that enter a fingerprint. A longer body is told apart from others by these and by its length: the rest isn't there yet when the request
-/// is sent on.
+/// Number of body bytes that enter a fingerprint. A longer body is identified by these bytes and its length,
+/// because the remainder has not arrived yet when the request is forwarded.
 pub const FINGERPRINTED_BYTES: usize = 16 * 1024;
 
-/// Purposes of the hashes, so that they are equal to no other ones of the same bytes.
+/// Contexts of the hashes, which make them differ from other hashes of the same bytes.
 const CONTENT_CONTEXT: &str = "umberpond request content v1";
 const CALLER_CONTEXT: &str = "umberpond request content and caller v1";
-/// Length of a fingerprint in bytes: 128 bits of a cryptographic hash, so that no caller can make a request that is taken for another one.
+/// Length of a fingerprint in bytes: 128 bits of a cryptographic hash, so that no caller can construct a
+/// request that collides with another one.
 const LENGTH: usize = 16;
 
-/// What is asked, without what is new with each attempt.
+/// Content of a request, without the parts that change with each attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestContent<'a> {
-    /// Method.
+    /// Request method.
     pub method: &'a [u8],
-    /// Host, as the caller wrote it.
+    /// Host as the caller sent it.
     pub host: &'a str,
     /// Path and query.
     pub target: &'a [u8],
-    /// Length of the body in bytes; absent if it is not known before the body's end.
+    /// Length of the body in bytes; `None` if unknown before the end of the body.
     pub body_length: Option<u64>,
     /// The body, or its first [`FINGERPRINTED_BYTES`].
     pub body: &'a [u8],
 }
 
-/// Identity of a request by what it asks.
+/// Identity of a request, derived from its content.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct RequestFingerprint([u8; LENGTH]);
 
-/// What a request is known by: its content, and its content with the service that asks. Whoever asks it, a request that ends back ends is found by the first; if one
-/// service is answered what ends back ends for another one, the first is cleared again and again, and the second finds it.
+/// Identity of a request by its content alone, and by its content and calling service together. The first
+/// identifies a request that crashes back ends for every caller. If only one service's requests crash back
+/// ends, the responses to other services keep clearing the first, and the second identifies the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey {
-    /// Fingerprint of its content.
+    /// Fingerprint of the content.
     pub content: RequestFingerprint,
-    /// Fingerprint of its content and of the service on whose behalf it is sent.
-    pub by_caller: RequestFingerprint,
+    /// Fingerprint of the content and of the service on whose behalf the request is sent.
+    pub with_caller: RequestFingerprint,
 }
 
 impl RequestKey {
-    /// The key of what has the fingerprint `content`, asked by the service `caller`.
+    /// Creates the key of the request with the fingerprint `content` from the service `caller`.
     #[must_use]
     pub fn new(content: RequestFingerprint, caller: &str) -> Self {
-        Self { content, by_caller: content.asked_by(caller) }
+        Self { content, with_caller: content.for_caller(caller) }
     }
 
     /// Both fingerprints.
     #[must_use]
     pub const fn fingerprints(&self) -> [RequestFingerprint; 2] {
-        [self.content, self.by_caller]
+        [self.content, self.with_caller]
     }
 }
 
-/// A text that is no fingerprint.
+/// Error for a text that is not a fingerprint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a fingerprint is 32 hexadecimal digits")]
 pub struct InvalidFingerprint;
 
 impl RequestFingerprint {
-    /// The fingerprint of `content`, whoever asks it.
+    /// Fingerprint of `content`, independent of the caller.
     #[must_use]
     pub fn of(content: &RequestContent<'_>) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CONTENT_CONTEXT);
@@ -81,9 +83,10 @@
         Self::finish(&hasher)
     }
 
-    /// The fingerprint of the same content if `caller` asks it. A back end may end by what one service asks and answer another one the same.
+    /// Fingerprint of the same content sent by `caller`. A back end may crash on a request from one service
+    /// and respond to the same request from another.
     #[must_use]
-    pub fn asked_by(&self, caller: &str) -> Self {
+    pub fn for_caller(&self, caller: &str) -> Self {
         let mut hasher = blake3::Hasher::new_derive_key(CALLER_CONTEXT);
         hasher.update(&self.0);
         hasher.update(caller.as_bytes());
@@ -96,7 +99,7 @@
         Self(fingerprint)
     }
 
-    /// Its bytes.
+    /// Bytes of the fingerprint.
     #[must_use]
     pub const fn as_bytes(&self) -> &[u8; LENGTH] {
         &self.0
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -1,4 +1,4 @@
-//! All findings that a node holds.
+//! The findings that a node holds about all suspect requests.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -6,22 +6,24 @@
 use crate::finding::{CrashId, Finding, SuspectRecord};
 use crate::fingerprint::{RequestFingerprint, RequestKey};
 use crate::settings::QuarantineSettings;
-use crate::standing::SuspicionLevel;
 use crate::suspect::Suspect;
+use crate::suspicion_level::SuspicionLevel;
 
-/// Ends from which on a fingerprint is told again to nodes that may have missed it. A single one is told once: most of those are of requests that ran beside.
-const REPAIRED_CRASHES: usize = 2;
+/// Minimum number of crashes for which a fingerprint is sent again to nodes that may have missed it. A single
+/// crash is sent only once, because most requests with one crash merely ran beside the cause.
+const MIN_REPAIRED_CRASHES: usize = 2;
 
-/// What came of joining what another node knows.
+/// Result of merging the records of another node.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct MergeOutcome {
-    /// Fingerprints of which something is new here.
+    /// Fingerprints with findings that were new to this node.
     pub changed: Vec<RequestFingerprint>,
-    /// Fingerprints of which more is known here than was told.
+    /// Fingerprints with findings here that the merged records lack.
     pub sender_outdated: Vec<RequestFingerprint>,
 }
 
-/// The findings about requests that may end back ends. Two ledgers that have heard the same, in whatever order, hold the same.
+/// The findings about requests that may crash back ends. Two ledgers that have merged the same findings, in
+/// any order, are equal.
 #[derive(Debug)]
 pub struct SuspectLedger {
     settings: QuarantineSettings,
@@ -29,31 +31,31 @@
 }
 
 impl SuspectLedger {
-    /// Without findings.
+    /// Creates a ledger without findings.
     #[must_use]
     pub const fn new(settings: QuarantineSettings) -> Self {
         Self { settings, suspects: BTreeMap::new() }
     }
 
-    /// Whether nothing was ever found.
+    /// Whether there are no findings.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.suspects.is_empty()
     }
 
-    /// How a request is treated.
+    /// Returns how a request is treated, by the more suspect of its two fingerprints.
     #[must_use]
     pub fn standing(&self, now: Instant, key: &RequestKey) -> SuspicionLevel {
         let standings = key.fingerprints().into_iter().map(|fingerprint| self.standing_of(now, &fingerprint));
         standings.max().unwrap_or(SuspicionLevel::Clear)
     }
 
-    /// How whatever has this fingerprint is treated.
+    /// Returns how requests with this fingerprint are treated.
     #[must_use]
     pub fn standing_of(&self, now: Instant, fingerprint: &RequestFingerprint) -> SuspicionLevel {
         let Some(suspect) = self.suspects.get(fingerprint) else { return SuspicionLevel::Clear };
         let crashes = suspect.crashes();
-        if crashes == 0 || self.is_over(now, suspect.blamed_at) {
+        if crashes == 0 || self.is_expired(now, suspect.blamed_at) {
             return SuspicionLevel::Clear;
         }
         if crashes >= self.settings.crashes {
@@ -66,7 +68,7 @@
         if left.is_zero() { SuspicionLevel::Isolated } else { SuspicionLevel::Paused(left) }
     }
 
-    /// Ends that a request is blamed for.
+    /// Number of crashes that a request is blamed for.
     #[must_use]
     pub fn crashes(&self, key: &RequestKey) -> usize {
         let crashes =
@@ -74,16 +76,18 @@
         crashes.max().unwrap_or(0)
     }
 
-    /// Ends that whatever has this fingerprint is blamed for.
+    /// Number of crashes that requests with this fingerprint are blamed for.
     #[must_use]
     pub fn fingerprint_crash_count(&self, fingerprint: &RequestFingerprint) -> usize {
         self.suspects.get(fingerprint).map_or(0, Suspect::crashes)
     }
 
-    /// Takes in that a back end has ended while `requests` ran there; gives those that are blamed.
+    /// Records that a back end crashed while `requests` ran there. Returns the requests that are blamed.
     ///
-    /// One end has one cause. Those that were blamed most before explain it, and nothing else that ran there is blamed: what ran beside a request that ends each back end is
-    /// blamed once at most. Of several that are equally close to being refused none is: they are kept apart from then on, and the next end tells.
+    /// A crash has one cause. The requests that were blamed for the most crashes before explain it, and no
+    /// other request that ran there is blamed. A request that merely runs beside one that crashes every back
+    /// end is therefore blamed at most once. If several requests are one crash away from quarantine, none of
+    /// them is blamed: they are run apart from then on, and the next crash shows the cause.
     pub fn blame(&mut self, now: Instant, crash: CrashId, requests: &[RequestKey]) -> Vec<RequestKey> {
         let most = requests.iter().map(|key| self.crashes(key)).max().unwrap_or(0);
         let blamed: Vec<RequestKey> =
@@ -94,55 +98,56 @@
         }
         for fingerprint in blamed.iter().flat_map(RequestKey::fingerprints) {
             let suspect = self.suspects.entry(fingerprint).or_insert_with(|| Suspect::new(now));
-            suspect.join(crash, Finding::Blamed);
+            suspect.merge(crash, Finding::Blamed);
             suspect.blamed_at = now;
         }
-        self.forget(now);
+        self.evict(now);
         blamed
     }
 
-    /// Takes in that a back end has answered a request: it does not end each one that runs it. Gives the fingerprints that were blamed until now.
+    /// Records that a back end responded to a request, which shows that the request does not crash every back
+    /// end. Returns the fingerprints that were blamed until now.
     pub fn clear(&mut self, key: &RequestKey) -> Vec<RequestFingerprint> {
         let fingerprints = key.fingerprints().into_iter();
         fingerprints.filter(|fingerprint| self.lift(fingerprint)).collect()
     }
 
-    /// Clears whatever has this fingerprint; tells whether it was blamed until now.
+    /// Clears this fingerprint; returns whether it was blamed until now.
     pub fn lift(&mut self, fingerprint: &RequestFingerprint) -> bool {
         self.suspects.get_mut(fingerprint).is_some_and(Suspect::clear)
     }
 
-    /// Joins what another node, or the store, tells.
+    /// Merges records from another node or from the store.
     pub fn join(&mut self, now: Instant, records: &[SuspectRecord]) -> MergeOutcome {
         let mut joined = MergeOutcome::default();
         for record in records {
             let age = Duration::from_millis(u64::from(record.age_millis));
             let blamed_at = now.checked_sub(age).unwrap_or(now);
-            if self.is_over(now, blamed_at) {
+            if self.is_expired(now, blamed_at) {
                 continue;
             }
             let known = self.suspects.get(&record.fingerprint);
-            if known.is_some_and(|suspect| suspect.knows_more_than(&record.findings)) {
+            if known.is_some_and(|suspect| suspect.has_more_than(&record.findings)) {
                 joined.sender_outdated.push(record.fingerprint);
             }
-            if known.is_some_and(|suspect| suspect.knows(&record.findings)) {
+            if known.is_some_and(|suspect| suspect.contains_all(&record.findings)) {
                 continue;
             }
             let suspect = self.suspects.entry(record.fingerprint).or_insert_with(|| Suspect::new(blamed_at));
-            let mut is_news = false;
+            let mut is_changed = false;
             for (crash, finding) in &record.findings {
-                is_news |= suspect.join(*crash, *finding);
+                is_changed |= suspect.merge(*crash, *finding);
             }
-            if is_news {
+            if is_changed {
                 suspect.blamed_at = suspect.blamed_at.max(blamed_at);
                 joined.changed.push(record.fingerprint);
             }
         }
-        self.forget(now);
+        self.evict(now);
         joined
     }
 
-    /// What is known of `fingerprints`.
+    /// Records of those `fingerprints` that have findings.
     #[must_use]
     pub fn records(&self, now: Instant, fingerprints: &[RequestFingerprint]) -> Vec<SuspectRecord> {
         let known = fingerprints
@@ -151,13 +156,13 @@
         known.map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
-    /// What a node has to know that may have missed what was told.
+    /// Records that a node needs if it may have missed updates.
     #[must_use]
     pub fn repair_records(&self, now: Instant) -> Vec<SuspectRecord> {
         self.repaired().map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
-    /// Sum of these, the same for two nodes that know the same.
+    /// Digest of the repair records, equal for two nodes with the same findings.
     #[must_use]
     pub fn digest(&self) -> u64 {
         let hashes = self.repaired().map(|(fingerprint, suspect)| {
@@ -169,7 +174,7 @@
         hashes.fold(0, |sum, hash| sum ^ hash)
     }
 
-    /// The fingerprints that are refused, with all that is known of them.
+    /// Records of the quarantined fingerprints.
     #[must_use]
     pub fn quarantined(&self, now: Instant) -> Vec<SuspectRecord> {
         let refused = self
@@ -180,15 +185,15 @@
     }
 
     fn repaired(&self) -> impl Iterator<Item = (&RequestFingerprint, &Suspect)> {
-        self.suspects.iter().filter(|(_, suspect)| suspect.crashes() >= REPAIRED_CRASHES)
+        self.suspects.iter().filter(|(_, suspect)| suspect.crashes() >= MIN_REPAIRED_CRASHES)
     }
 
-    fn is_over(&self, now: Instant, blamed_at: Instant) -> bool {
+    fn is_expired(&self, now: Instant, blamed_at: Instant) -> bool {
         now.saturating_duration_since(blamed_at) >= self.settings.lifetime
     }
 
-    /// Drops what is too old, and what matters least if there is too much.
-    fn forget(&mut self, now: Instant) {
+    /// Drops expired suspects and, above the capacity, those with the fewest crashes, the oldest first.
+    fn evict(&mut self, now: Instant) {
         let lifetime = self.settings.lifetime;
         self.suspects.retain(|_, suspect| now.saturating_duration_since(suspect.blamed_at) < lifetime);
         while self.suspects.len() > self.settings.capacity {
--- a/crates/quarantine/src/lib.rs
+++ b/crates/quarantine/src/lib.rs
@@ -1,18 +1,19 @@
-//! Finds the requests that end the back ends that run them, and keeps them away.
+//! Detects the requests that crash the back ends that run them, and quarantines them.
 //!
-//! A request is known by its [`RequestFingerprint`], which is the same each time it is sent, by whatever attempt of its caller and at whatever node.
-//! The node beside a back end that ends blames what ran there; an answer of a back end that is no failure clears a request of what it was blamed for before.
-//! Every node holds all findings in its [`SuspectLedger`]. They are joined in any order, so it does not matter who hears what first or twice; what follows for a
-//! request ([`SuspicionLevel`]) follows for it at every node.
+//! A request is identified by its [`RequestFingerprint`], which is the same for every attempt of its caller
+//! and at every node. The node of a back end that crashes blames the requests that ran there. A response that
+//! is not a failure clears a request of the crashes it was blamed for before. Every node holds all findings
+//! in its [`SuspectLedger`]. Findings can be merged in any order and repeatedly with the same result, so
+//! every node derives the same [`SuspicionLevel`] for a request.
 //!
-//! The core has no I/O and reads no clock.
+//! This crate does no I/O and reads no clock.
 
 mod finding;
 mod fingerprint;
 mod ledger;
 mod settings;
-mod standing;
 mod suspect;
+mod suspicion_level;
 
 pub use finding::{CrashId, Finding, SuspectRecord};
 pub use fingerprint::{
@@ -20,4 +21,4 @@
 };
 pub use ledger::{MergeOutcome, SuspectLedger};
 pub use settings::QuarantineSettings;
-pub use standing::SuspicionLevel;
+pub use suspicion_level::SuspicionLevel;
--- a/crates/quarantine/src/settings.rs
+++ b/crates/quarantine/src/settings.rs
@@ -1,19 +1,22 @@
-//! Limits of the suspicion.
+//! Settings of the quarantine.
 
 use std::time::Duration;
 
-/// When a request that ends back ends is kept away.
+/// Thresholds and limits of the quarantine of requests that crash back ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct QuarantineSettings {
-    /// Ends of back ends that a request is blamed for, without an answer since, after which it is refused. One may be chance, and so may a second one where several back
-    /// ends end for another reason; the users' rule counts from the third.
+    /// Number of crashes that a request is blamed for, without a response since, after which it is rejected.
+    /// One crash may be a coincidence, and so may a second one while several back ends crash for another
+    /// reason. The users' requirement counts from the third crash.
     pub crashes: usize,
-    /// Time for which a request is refused after all but the last of these ends, so that the back ends are there again before the last one follows: with four back ends and half
-    /// of their slots taken 1.00 of all other requests are served, and 0.96 without it.
+    /// Time for which a request is rejected when it is one crash away from quarantine, so that the back ends
+    /// have restarted before it can crash the next one. With four back ends and half of their slots in use,
+    /// 1.00 of all other requests are served; without this pause, 0.96.
     pub pause: Duration,
-    /// Time after the last end for which findings are kept. A request that comes again later counts as a new one.
+    /// Time after the last crash for which findings are kept. A request that is sent again later counts as
+    /// new.
     pub lifetime: Duration,
-    /// Most fingerprints of which findings are kept: at about 100 bytes each 400 KB.
+    /// Maximum number of fingerprints with findings: 400 KB at about 100 bytes each.
     pub capacity: usize,
 }
 
--- a/crates/quarantine/src/suspect.rs
+++ b/crates/quarantine/src/suspect.rs
@@ -1,4 +1,4 @@
-//! The findings about one fingerprint.
+//! Findings about one fingerprint.
 
 use std::collections::BTreeMap;
 use std::time::Instant;
@@ -6,14 +6,15 @@
 use crate::finding::{CrashId, Finding, SuspectRecord};
 use crate::fingerprint::RequestFingerprint;
 
-/// Most ends of which a finding is kept for one fingerprint, those with the smallest numbers so that all nodes keep the same: enough to refuse it, and for some that
-/// nodes blame it for before they hear of each other.
+/// Maximum number of crashes with a finding about one fingerprint. The crashes with the smallest numbers are
+/// kept, so that all nodes keep the same ones. The limit suffices to quarantine a request, with room for
+/// crashes that nodes blame it for before they receive each other's findings.
 const MAX_FINDINGS: usize = 8;
 
 #[derive(Debug, Clone)]
 pub(crate) struct Suspect {
     findings: BTreeMap<CrashId, Finding>,
-    /// When the last end was that it was blamed for.
+    /// Time of the last crash that it is blamed for.
     pub(crate) blamed_at: Instant,
 }
 
@@ -22,17 +23,17 @@
         Self { findings: BTreeMap::new(), blamed_at }
     }
 
-    /// Ends that it is blamed for.
+    /// Number of crashes that it is blamed for.
     pub(crate) fn crashes(&self) -> usize {
         self.findings.values().filter(|finding| **finding == Finding::Blamed).count()
     }
 
-    /// Joins a finding; tells whether it is news.
-    pub(crate) fn join(&mut self, crash: CrashId, finding: Finding) -> bool {
+    /// Merges a finding; returns whether it was new.
+    pub(crate) fn merge(&mut self, crash: CrashId, finding: Finding) -> bool {
         if let Some(known) = self.findings.get_mut(&crash) {
-            let is_news = finding > *known;
+            let is_changed = finding > *known;
             *known = finding.max(*known);
-            return is_news;
+            return is_changed;
         }
         self.findings.insert(crash, finding);
         if self.findings.len() > MAX_FINDINGS {
@@ -41,7 +42,7 @@
         self.findings.contains_key(&crash)
     }
 
-    /// Clears it of all that it is blamed for; tells whether it was blamed.
+    /// Clears it of all crashes; returns whether it was blamed for any.
     pub(crate) fn clear(&mut self) -> bool {
         let was_blamed = self.crashes() > 0;
         for finding in self.findings.values_mut() {
@@ -50,15 +51,15 @@
         was_blamed
     }
 
-    /// Whether everything in `findings` is known.
-    pub(crate) fn knows(&self, findings: &[(CrashId, Finding)]) -> bool {
+    /// Whether it already contains all of `findings`.
+    pub(crate) fn contains_all(&self, findings: &[(CrashId, Finding)]) -> bool {
         findings.iter().all(|(crash, finding)| self.findings.get(crash) >= Some(finding))
     }
 
-    /// Whether something is known that is not in `findings`.
-    pub(crate) fn knows_more_than(&self, findings: &[(CrashId, Finding)]) -> bool {
-        let told: BTreeMap<CrashId, Finding> = findings.iter().copied().collect();
-        self.findings.iter().any(|(crash, finding)| told.get(crash) < Some(finding))
+    /// Whether it contains a finding that `findings` lacks.
+    pub(crate) fn has_more_than(&self, findings: &[(CrashId, Finding)]) -> bool {
+        let received: BTreeMap<CrashId, Finding> = findings.iter().copied().collect();
+        self.findings.iter().any(|(crash, finding)| received.get(crash) < Some(finding))
     }
 
     pub(crate) fn record(&self, now: Instant, fingerprint: RequestFingerprint) -> SuspectRecord {
--- a/crates/quarantine/tests/fingerprint.rs
+++ b/crates/quarantine/tests/fingerprint.rs
@@ -1,4 +1,4 @@
-//! Fingerprints: equal for the same request, different for any other one.
+//! Fingerprints are equal for the same request and differ for any other.
 
 use quickcheck::quickcheck;
 use umberpond_quarantine::{FINGERPRINTED_BYTES, RequestContent, RequestFingerprint};
@@ -12,14 +12,14 @@
 };
 
 #[test]
-fn every_part_of_a_request_counts() {
+fn requests_that_differ_in_any_part_get_different_fingerprints() {
     let others = [
         RequestContent { method: b"POST", ..CONTENT },
         RequestContent { host: "b.example", ..CONTENT },
         RequestContent { target: b"/one/a?b=d", ..CONTENT },
         RequestContent { body_length: None, ..CONTENT },
         RequestContent { body_length: Some(1), body: b"x", ..CONTENT },
-        // The same bytes, divided in another way.
+        // The same bytes with another boundary between the parts.
         RequestContent { method: b"GE", host: "Ta.example", ..CONTENT },
     ];
     let fingerprint = RequestFingerprint::of(&CONTENT);
@@ -30,15 +30,15 @@
 }
 
 #[test]
-fn the_caller_makes_another_fingerprint_of_the_same_content() {
+fn same_content_of_different_callers_gets_different_fingerprints() {
     let content = RequestFingerprint::of(&CONTENT);
-    let by_web = content.asked_by("web");
-    assert_eq!(by_web, content.asked_by("web"));
-    assert!(by_web != content && by_web != content.asked_by("desk"));
+    let by_web = content.for_caller("web");
+    assert_eq!(by_web, content.for_caller("web"));
+    assert!(by_web != content && by_web != content.for_caller("desk"));
 }
 
 #[test]
-fn of_a_long_body_its_beginning_and_its_length_count() {
+fn long_body_is_identified_by_its_beginning_and_length() {
     let long = vec![7; FINGERPRINTED_BYTES + 9];
     let whole = RequestContent { body_length: Some(long.len() as u64), body: &long, ..CONTENT };
     let beginning = RequestContent { body: &long[..FINGERPRINTED_BYTES], ..whole };
@@ -48,12 +48,12 @@
 }
 
 quickcheck! {
-    fn text_is_read_back(target: Vec<u8>) -> bool {
+    fn fingerprint_round_trips_through_text(target: Vec<u8>) -> bool {
         let fingerprint = RequestFingerprint::of(&RequestContent { target: &target, ..CONTENT });
         fingerprint.to_string().parse() == Ok(fingerprint)
     }
 
-    fn any_text_is_a_fingerprint_or_refused(text: String) -> bool {
+    fn invalid_text_is_rejected(text: String) -> bool {
         text.parse::<RequestFingerprint>().is_err() || text.len() == 32
     }
 }
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -1,4 +1,4 @@
-//! What nodes hold of requests that may end back ends: who is blamed, who is cleared, and that all come to the same.
+//! Blaming and clearing of requests, and convergence of the nodes' ledgers.
 
 use std::time::{Duration, Instant};
 
@@ -39,53 +39,53 @@
 }
 
 #[test]
-fn a_request_is_refused_from_the_third_end_on_and_for_a_while_after_the_second() {
+fn request_is_paused_after_the_second_crash_and_quarantined_after_the_third() {
     let start = Instant::now();
     let mut ledger = ledger();
-    let guilty = key("/guilty");
-    assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Clear);
-    ledger.blame(start, CrashId(1), &[guilty]);
-    assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Suspected);
-    ledger.blame(after(start, 1), CrashId(2), &[guilty]);
-    assert_eq!(ledger.standing(after(start, 2), &guilty), SuspicionLevel::Paused(Duration::from_secs(3)));
-    assert_eq!(ledger.standing(after(start, 5), &guilty), SuspicionLevel::Isolated);
-    ledger.blame(after(start, 5), CrashId(3), &[guilty]);
-    assert_eq!(ledger.standing(after(start, 500), &guilty), SuspicionLevel::Quarantined);
-    assert_eq!(ledger.standing(after(start, 700), &guilty), SuspicionLevel::Clear);
+    let culprit = key("/guilty");
+    assert_eq!(ledger.standing(start, &culprit), SuspicionLevel::Clear);
+    ledger.blame(start, CrashId(1), &[culprit]);
+    assert_eq!(ledger.standing(start, &culprit), SuspicionLevel::Suspected);
+    ledger.blame(after(start, 1), CrashId(2), &[culprit]);
+    assert_eq!(ledger.standing(after(start, 2), &culprit), SuspicionLevel::Paused(Duration::from_secs(3)));
+    assert_eq!(ledger.standing(after(start, 5), &culprit), SuspicionLevel::Isolated);
+    ledger.blame(after(start, 5), CrashId(3), &[culprit]);
+    assert_eq!(ledger.standing(after(start, 500), &culprit), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.standing(after(start, 700), &culprit), SuspicionLevel::Clear);
 }
 
 #[test]
-fn what_was_blamed_before_explains_an_end_and_nothing_beside_it_is_blamed() {
+fn crash_is_attributed_to_earlier_suspects_and_not_to_bystanders() {
     let start = Instant::now();
     let mut ledger = ledger();
-    let (guilty, beside, later) = (key("/guilty"), key("/beside"), key("/later"));
-    assert_eq!(ledger.blame(start, CrashId(1), &[guilty, beside]), [guilty, beside]);
-    ledger.clear(&beside);
-    assert_eq!(ledger.blame(start, CrashId(2), &[guilty, beside, later]), [guilty]);
-    assert_eq!(ledger.blame(start, CrashId(3), &[later, guilty]), [guilty]);
-    assert_eq!(ledger.standing(start, &beside), SuspicionLevel::Clear);
+    let (culprit, bystander, later) = (key("/guilty"), key("/beside"), key("/later"));
+    assert_eq!(ledger.blame(start, CrashId(1), &[culprit, bystander]), [culprit, bystander]);
+    ledger.clear(&bystander);
+    assert_eq!(ledger.blame(start, CrashId(2), &[culprit, bystander, later]), [culprit]);
+    assert_eq!(ledger.blame(start, CrashId(3), &[later, culprit]), [culprit]);
+    assert_eq!(ledger.standing(start, &bystander), SuspicionLevel::Clear);
     assert_eq!(ledger.standing(start, &later), SuspicionLevel::Clear);
 }
 
-/// Both would be refused by this end, and one of them wrongly.
+/// One more crash would quarantine both requests, one of them wrongly.
 #[test]
-fn of_several_that_are_equally_suspect_none_is_refused() {
+fn equally_suspect_requests_are_not_quarantined() {
     let start = Instant::now();
     let mut ledger = ledger();
-    let (guilty, beside) = (key("/guilty"), key("/beside"));
+    let (culprit, bystander) = (key("/guilty"), key("/beside"));
     for crash in 1..=2 {
-        ledger.blame(start, CrashId(crash), &[guilty, beside]);
+        ledger.blame(start, CrashId(crash), &[culprit, bystander]);
     }
     for crash in 3..=9 {
-        assert_eq!(ledger.blame(start, CrashId(crash), &[guilty, beside]), []);
+        assert_eq!(ledger.blame(start, CrashId(crash), &[culprit, bystander]), []);
     }
-    ledger.blame(start, CrashId(10), &[guilty]);
-    assert_eq!(ledger.standing(start, &guilty), SuspicionLevel::Quarantined);
-    assert_ne!(ledger.standing(start, &beside), SuspicionLevel::Quarantined);
+    ledger.blame(start, CrashId(10), &[culprit]);
+    assert_eq!(ledger.standing(start, &culprit), SuspicionLevel::Quarantined);
+    assert_ne!(ledger.standing(start, &bystander), SuspicionLevel::Quarantined);
 }
 
 #[test]
-fn the_same_content_for_two_callers_is_one_suspect() {
+fn same_content_of_two_callers_is_one_suspect() {
     let start = Instant::now();
     let mut ledger = ledger();
     let keys = [key_by("/guilty", "web"), key_by("/guilty", "desk")];
@@ -96,61 +96,61 @@
     assert_eq!(ledger.standing(start, &key_by("/guilty", "another")), SuspicionLevel::Quarantined);
 }
 
-/// One service is answered what ends back ends when another one asks it.
+/// One service gets responses to the content with which another service crashes back ends.
 #[test]
-fn a_caller_that_is_answered_clears_nothing_for_another_one() {
+fn response_to_one_caller_does_not_clear_another_one() {
     let start = Instant::now();
     let mut ledger = ledger();
-    let (answered, crashing) = (key_by("/mixed", "web"), key_by("/mixed", "desk"));
+    let (served, crashing) = (key_by("/mixed", "web"), key_by("/mixed", "desk"));
     for crash in 1..=3 {
         ledger.blame(start, CrashId(crash), &[crashing]);
-        ledger.clear(&answered);
+        ledger.clear(&served);
     }
     assert_eq!(ledger.standing(start, &crashing), SuspicionLevel::Quarantined);
-    assert_eq!(ledger.standing(start, &answered), SuspicionLevel::Clear);
+    assert_eq!(ledger.standing(start, &served), SuspicionLevel::Clear);
 }
 
 #[test]
-fn what_is_certain_stays_when_there_is_too_much() {
+fn quarantined_fingerprints_survive_eviction() {
     let start = Instant::now();
     let mut ledger = ledger();
-    let guilty = key("/guilty");
+    let culprit = key("/guilty");
     for crash in 1..=3 {
-        ledger.blame(start, CrashId(crash), &[guilty]);
+        ledger.blame(start, CrashId(crash), &[culprit]);
     }
     for number in 0..1_000 {
         ledger.blame(after(start, 1), CrashId(100 + number), &[key(&format!("/{number}"))]);
     }
-    assert_eq!(ledger.standing(after(start, 1), &guilty), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.standing(after(start, 1), &culprit), SuspicionLevel::Quarantined);
     assert!(ledger.quarantined(after(start, 1)).len() <= 2);
 }
 
 #[test]
-fn age_travels_with_a_finding() {
+fn merged_findings_keep_their_age() {
     let start = Instant::now();
     let (mut old, mut new) = (ledger(), ledger());
-    let guilty = key("/guilty");
+    let culprit = key("/guilty");
     for crash in 1..=3 {
-        old.blame(start, CrashId(crash), &[guilty]);
+        old.blame(start, CrashId(crash), &[culprit]);
     }
     new.join(after(start, 400), &old.repair_records(after(start, 400)));
-    assert_eq!(new.standing(after(start, 599), &guilty), SuspicionLevel::Quarantined);
-    assert_eq!(new.standing(after(start, 600), &guilty), SuspicionLevel::Clear);
+    assert_eq!(new.standing(after(start, 599), &culprit), SuspicionLevel::Quarantined);
+    assert_eq!(new.standing(after(start, 600), &culprit), SuspicionLevel::Clear);
     let too_old = old.repair_records(after(start, 599));
     let mut last = ledger();
     last.join(after(start, 2_000), &[SuspectRecord { age_millis: u32::MAX, ..too_old[0].clone() }]);
     assert!(last.is_empty());
 }
 
-/// What happens at some node.
+/// An event at some node.
 #[derive(Debug, Clone)]
 enum Step {
-    /// The back end beside a node ends while these requests run there.
+    /// The back end of a node crashes while these requests run there.
     Crash { node: usize, requests: Vec<u8> },
-    /// The back end beside a node answers.
-    Answer { node: usize, request: u8 },
-    /// A node tells another one all that it knows of a request.
-    Tell { from: usize, to: usize, request: u8 },
+    /// The back end of a node responds to a request.
+    Respond { node: usize, request: u8 },
+    /// A node sends all its findings about a request to another node.
+    Send { from: usize, to: usize, request: u8 },
 }
 
 const NODES: usize = 4;
@@ -167,13 +167,13 @@
                 requests.dedup();
                 Self::Crash { node, requests }
             }
-            1 => Self::Answer { node, request },
-            _ => Self::Tell { from: node, to: usize::arbitrary(generator) % NODES, request },
+            1 => Self::Respond { node, request },
+            _ => Self::Send { from: node, to: usize::arbitrary(generator) % NODES, request },
         }
     }
 }
 
-fn carry_out(steps: &[Step], start: Instant) -> Vec<SuspectLedger> {
+fn run_steps(steps: &[Step], start: Instant) -> Vec<SuspectLedger> {
     let mut ledgers: Vec<SuspectLedger> = (0..NODES).map(|_| ledger()).collect();
     let key = |request: u8| key(&format!("/{request}"));
     for (number, step) in steps.iter().enumerate() {
@@ -182,10 +182,10 @@
                 let requests: Vec<RequestKey> = requests.iter().map(|request| key(*request)).collect();
                 ledgers[*node].blame(start, CrashId(number as u64), &requests);
             }
-            Step::Answer { node, request } => {
+            Step::Respond { node, request } => {
                 ledgers[*node].clear(&key(*request));
             }
-            Step::Tell { from, to, request } => {
+            Step::Send { from, to, request } => {
                 let records = ledgers[*from].records(start, &key(*request).fingerprints());
                 ledgers[*to].join(start, &records);
             }
@@ -195,15 +195,15 @@
 }
 
 #[test]
-fn nodes_that_have_heard_the_same_hold_the_same() {
+fn ledgers_with_the_same_findings_are_equal() {
     fn property(steps: Vec<Step>) -> bool {
         let start = Instant::now();
-        let mut ledgers = carry_out(&steps, start);
+        let mut ledgers = run_steps(&steps, start);
         let fingerprints: Vec<RequestFingerprint> =
             (0..REQUESTS).flat_map(|request| key(&format!("/{request}")).fingerprints()).collect();
         let all: Vec<Vec<SuspectRecord>> =
             ledgers.iter().map(|ledger| ledger.records(start, &fingerprints)).collect();
-        // Everybody hears everything, in an order of their own, and some of it twice.
+        // Every node merges all records, in its own order and some of them twice.
         for (node, ledger) in ledgers.iter_mut().enumerate() {
             for turn in 0..=NODES {
                 ledger.join(start, &all[(node + turn) % NODES]);
@@ -217,35 +217,36 @@
     QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Step>) -> bool);
 }
 
-/// A request that a back end answers after each end is never refused, whatever ran beside it and whoever hears what when.
+/// A request that a back end responds to after each crash must never be quarantined, whatever ran beside it
+/// and in whatever order the nodes exchange findings.
 #[test]
-fn what_is_answered_is_not_refused() {
+fn request_with_responses_is_never_quarantined() {
     fn property(steps: Vec<Step>) -> bool {
         let start = Instant::now();
-        let mut answered = Vec::new();
+        let mut steps_with_responses = Vec::new();
         for step in steps {
             let is_crash = matches!(step, Step::Crash { .. });
             let node = if let Step::Crash { node, .. } = &step { *node } else { 0 };
-            answered.push(step);
+            steps_with_responses.push(step);
             if is_crash {
-                answered.push(Step::Answer { node, request: 0 });
+                steps_with_responses.push(Step::Respond { node, request: 0 });
             }
         }
         let popular = key("/0");
-        carry_out(&answered, start)
+        run_steps(&steps_with_responses, start)
             .iter()
             .all(|ledger| ledger.standing(start, &popular) != SuspicionLevel::Quarantined)
     }
     QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Step>) -> bool);
 }
 
-/// A request, the ends and whether it was cleared of each, and an age.
-type ToldRecord = (u8, Vec<(u64, bool)>, u32);
+/// A request, its crashes and whether it was cleared of each, and an age.
+type ReceivedRecord = (u8, Vec<(u64, bool)>, u32);
 
-/// What another node sends may hold anything.
+/// Records from another node may contain arbitrary values.
 #[test]
-fn any_record_is_joined_within_bounds() {
-    fn property(records: Vec<ToldRecord>) -> bool {
+fn merging_arbitrary_records_respects_the_limits() {
+    fn property(records: Vec<ReceivedRecord>) -> bool {
         let start = Instant::now();
         let mut ledger = ledger();
         let records: Vec<SuspectRecord> = records
@@ -265,5 +266,5 @@
         ledger.repair_records(start).len() <= SETTINGS.capacity
             && ledger.repair_records(start).iter().all(|record| record.findings.len() <= 8)
     }
-    QuickCheck::new().tests(1_000).quickcheck(property as fn(Vec<ToldRecord>) -> bool);
+    QuickCheck::new().tests(1_000).quickcheck(property as fn(Vec<ReceivedRecord>) -> bool);
 }
