--- a/crates/forwarding/src/hop/client.rs
+++ b/crates/forwarding/src/hop/client.rs
@@ -1,4 +1,4 @@
-//! The caller's side of an exchange with another node.
+//! Client side of an exchange with another node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
 use tokio::time::{Instant, timeout_at};
 use umberpond_net::{BoxStream, FrameReader, FrameWriter, Network};
 
-use super::protocol::{HopAnswer, HopBody, HopRequest, HopResponse, OpenHop, decode_fields};
+use super::protocol::{HopBody, HopRequest, HopResponse, HopResponseHead, OpenExchange, decode_fields};
 use crate::body::{BodyStream, PendingBody, RequestBodyError};
 use crate::message::{
     Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, ResponseBodyError,
 };
 use crate::outcome::{NotRunReason, UnknownReason};
 
-/// Length in bytes up to which a body is sent along with the head of its request, also to another zone: asking for it would cost
-/// about as much.
-const PUSHED_LENGTH: usize = 512;
-/// Time beyond the deadline in which the other node's last word arrives.
-const LAST_WORD: Duration = Duration::from_millis(40);
+/// Maximum length in bytes of a body that is sent together with the head of its request, also to another
+/// zone: requesting it separately would cost about as much.
+const MAX_INLINE_LENGTH: usize = 512;
+/// Time after the deadline for which the final response of the other node is awaited.
+const RESPONSE_GRACE: Duration = Duration::from_millis(40);
 
-/// Limits of the connections to other nodes.
+/// Limits of the connection pool to other nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct HopPoolSettings {
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub(crate) connect_time: Duration,
-    /// Longest time that an idle connection is kept.
+    /// Time after which an idle connection is closed.
     pub(crate) idle_time: Duration,
-    /// Most idle connections kept to one node.
+    /// Maximum number of idle connections to one node.
     pub(crate) idle_per_node: usize,
 }
 
@@ -53,13 +53,14 @@
         }
     }
 
-    /// Whether the other node has neither closed the connection nor said anything unasked.
+    /// Whether the connection has not been idle too long, and the other node has neither closed it nor sent
+    /// anything unsolicited.
     fn is_usable(&mut self, idle_time: Duration) -> bool {
         self.idle_since.elapsed() < idle_time && self.reader.next().now_or_never().is_none()
     }
 }
 
-/// Idle connections to other nodes.
+/// Pool of idle connections to other nodes.
 pub(crate) struct HopPool {
     network: Arc<dyn Network>,
     settings: HopPoolSettings,
@@ -71,7 +72,7 @@
         Arc::new(Self { network, settings, idle: Mutex::default() })
     }
 
-    /// Sends `attempt` to the node at `address`. Dropping the future gives the attempt up there too.
+    /// Sends `attempt` to the node at `address`. Dropping the future cancels the attempt there too.
     pub(crate) async fn run(self: &Arc<Self>, address: SocketAddr, mut attempt: Attempt) -> AttemptResult {
         let deadline = attempt.deadline;
         let Some(connection) = self.connection(address, deadline).await else {
@@ -79,11 +80,12 @@
         };
         let body = std::mem::replace(&mut attempt.body, RequestBody::Consumed);
         let exchange = self.exchange(address, connection, &attempt, body);
-        // The other node keeps the same deadline and can say whether the request ran; its word is awaited a little.
-        match timeout_at(deadline + LAST_WORD, exchange).await {
+        // The other node enforces the same deadline and can report whether the request ran, so its response
+        // is awaited a little longer.
+        match timeout_at(deadline + RESPONSE_GRACE, exchange).await {
             Ok(result) => result,
             Err(_elapsed) => {
-                // Not even the last word came: the other connections to that node may have gone silent as well.
+                // No response arrived at all, so the idle connections to that node may be dead as well.
                 self.idle.lock().remove(&address);
                 AttemptResult::Unknown(UnknownReason::TimedOut)
             }
@@ -135,17 +137,17 @@
         body: RequestBody,
     ) -> AttemptResult {
         let lost = AttemptResult::Unknown(UnknownReason::NodeConnectionLost);
-        let body = if attempt.is_cross_zone { on_demand(body) } else { body };
+        let body = if attempt.is_cross_zone { into_pending_body(body) } else { body };
         let (first, is_sent_whole) = match body {
             RequestBody::Whole(whole) => {
-                let open = OpenHop::of(attempt, HopBody::Whole(whole.to_vec()));
+                let open = OpenExchange::of(attempt, HopBody::Whole(whole.to_vec()));
                 if connection.writer.send(&HopRequest::Open(Box::new(open))).await.is_err() {
                     return lost;
                 }
                 (connection.reader.next().await, true)
             }
             RequestBody::Pending(pending) => {
-                let open = OpenHop::of(attempt, HopBody::Parts(pending.length()));
+                let open = OpenExchange::of(attempt, HopBody::Parts(pending.length()));
                 if connection.writer.send(&HopRequest::Open(Box::new(open))).await.is_err() {
                     return lost;
                 }
@@ -157,14 +159,14 @@
         };
         let Ok(Some((response, _size))) = first else { return lost };
         match response {
-            HopResponse::Answered(answer) => {
-                self.answered(address, connection, *answer, is_sent_whole, attempt.deadline)
+            HopResponse::Answered(head) => {
+                self.on_response_head(address, connection, *head, is_sent_whole, attempt.deadline)
             }
-            HopResponse::NotRun(told) => {
+            HopResponse::NotRun(hop_not_run) => {
                 if is_sent_whole {
                     self.put_back(address, connection);
                 }
-                AttemptResult::NotRun(told.into())
+                AttemptResult::NotRun(hop_not_run.into())
             }
             HopResponse::Unknown(reason) => {
                 if is_sent_whole {
@@ -179,15 +181,15 @@
         }
     }
 
-    fn answered(
+    fn on_response_head(
         self: &Arc<Self>,
         address: SocketAddr,
         connection: HopConnection,
-        answer: HopAnswer,
+        head: HopResponseHead,
         is_sent_whole: bool,
         deadline: Instant,
     ) -> AttemptResult {
-        let body = match answer.body {
+        let body = match head.body {
             HopBody::Whole(whole) => {
                 if is_sent_whole {
                     self.put_back(address, connection);
@@ -200,16 +202,16 @@
                 address,
                 length,
                 deadline,
-                is_kept: is_sent_whole,
+                is_reusable: is_sent_whole,
             })),
         };
         AttemptResult::Answered(Response {
-            status: answer.status,
-            fields: decode_fields(answer.fields),
+            status: head.status,
+            fields: decode_fields(head.fields),
             body,
-            back_end_time: Duration::from_micros(answer.back_end_time),
-            waited: Duration::from_micros(answer.waited),
-            load: answer.load,
+            back_end_time: Duration::from_micros(head.back_end_time),
+            waited: Duration::from_micros(head.waited),
+            load: head.load,
         })
     }
 }
@@ -220,14 +222,14 @@
     }
 }
 
-/// The body as it is sent to a node in another zone: bytes between zones are dear, so a body that is not short crosses only once its
-/// request has a slot there.
-fn on_demand(body: RequestBody) -> RequestBody {
+/// Converts the body of a request to a node in another zone. Traffic between zones is expensive, so a body
+/// that is not short is sent only once its request has a slot there.
+fn into_pending_body(body: RequestBody) -> RequestBody {
     match body {
-        RequestBody::Whole(whole) if whole.len() > PUSHED_LENGTH => {
+        RequestBody::Whole(whole) if whole.len() > MAX_INLINE_LENGTH => {
             let length = whole.len() as u64;
             let (sender, parts) = mpsc::channel(1);
-            // The channel has room for the only part, and its receiver is still there.
+            // The send cannot fail: the channel has capacity for the only part, and its receiver exists.
             let _ = sender.try_send(Ok(whole));
             RequestBody::Pending(PendingBody::from_caller(Some(length), Bytes::new(), parts))
         }
@@ -237,8 +239,8 @@
 
 type Frame = Result<Option<(HopResponse, usize)>, umberpond_net::FrameError>;
 
-/// Sends the body as the other node asks for it, until an answer comes; tells the answer, and whether the connection is
-/// at the boundary of two exchanges then.
+/// Sends the body as the other node requests it, until a response arrives. Returns the response, and whether
+/// the connection is then at the boundary between two exchanges.
 async fn send_on_demand(connection: &mut HopConnection, pending: &PendingBody) -> (Frame, bool) {
     let HopConnection { reader, writer, .. } = connection;
     let mut sender = BodySender::new(pending);
@@ -251,7 +253,7 @@
                 other => return (other, sender.is_at_boundary()),
             },
             part = sender.next_part(), if wants_part => {
-                // The caller's body broke off: the other node is told by the end of the connection.
+                // The caller's body is incomplete. The end of the connection reports that to the other node.
                 let Ok(part) = part else { return (Ok(None), false) };
                 sender.on_part(part);
             }
@@ -262,13 +264,13 @@
     }
 }
 
-/// Sends the parts of one body within what the other node has granted.
+/// Sends the parts of one body within the number of bytes that the other node has granted.
 struct BodySender<'a> {
     pending: &'a PendingBody,
     stream: Option<BodyStream>,
-    /// What was taken from the stream and not granted yet.
-    rest: Bytes,
-    /// Bytes that may be sent.
+    /// Data taken from the stream that is not granted yet.
+    buffered: Bytes,
+    /// Number of granted bytes that are not sent yet.
     granted: usize,
     has_ended: bool,
     is_sent_whole: bool,
@@ -276,7 +278,14 @@
 
 impl<'a> BodySender<'a> {
     fn new(pending: &'a PendingBody) -> Self {
-        Self { pending, stream: None, rest: Bytes::new(), granted: 0, has_ended: false, is_sent_whole: false }
+        Self {
+            pending,
+            stream: None,
+            buffered: Bytes::new(),
+            granted: 0,
+            has_ended: false,
+            is_sent_whole: false,
+        }
     }
 
     fn grant(&mut self, bytes: u32) {
@@ -287,10 +296,10 @@
     }
 
     fn wants_part(&self) -> bool {
-        self.stream.is_some() && self.rest.is_empty() && self.granted > 0 && !self.has_ended
+        self.stream.is_some() && self.buffered.is_empty() && self.granted > 0 && !self.has_ended
     }
 
-    /// The next part of the stream. Safe to cancel.
+    /// Reads the next part of the stream. Cancel safe.
     async fn next_part(&mut self) -> Result<Option<Bytes>, RequestBodyError> {
         let Some(stream) = &mut self.stream else { return Err(RequestBodyError) };
         stream.next().await.transpose()
@@ -298,19 +307,19 @@
 
     fn on_part(&mut self, part: Option<Bytes>) {
         match part {
-            Some(part) => self.rest = part,
+            Some(part) => self.buffered = part,
             None => self.has_ended = true,
         }
     }
 
-    /// Sends what may be sent of the rest, and the end of the body once it has come.
+    /// Sends the granted part of the data, and the end of the body once it is reached.
     async fn send(
         &mut self,
         writer: &mut FrameWriter<WriteHalf<BoxStream>, HopRequest>,
     ) -> Result<(), umberpond_net::FrameError> {
-        let length = self.rest.len().min(self.granted);
+        let length = self.buffered.len().min(self.granted);
         if length > 0 {
-            let part = self.rest.split_to(length);
+            let part = self.buffered.split_to(length);
             self.granted -= length;
             writer.send(&HopRequest::BodyPart(part.to_vec())).await?;
         }
@@ -321,20 +330,20 @@
         Ok(())
     }
 
-    /// Whether nothing of the body was sent, or all of it.
+    /// Whether none of the body was sent, or all of it.
     const fn is_at_boundary(&self) -> bool {
         self.stream.is_none() || self.is_sent_whole
     }
 }
 
-/// The rest of a long body that comes from another node.
+/// Remainder of a long response body that arrives from another node.
 pub struct HopResponseBody {
     connection: Option<HopConnection>,
     pool: Arc<HopPool>,
     address: SocketAddr,
     length: Option<u64>,
     deadline: Instant,
-    is_kept: bool,
+    is_reusable: bool,
 }
 
 impl std::fmt::Debug for HopResponseBody {
@@ -360,7 +369,7 @@
                 Ok(Some(part.into()))
             }
             Some(HopResponse::BodyEnd) => {
-                if self.is_kept {
+                if self.is_reusable {
                     self.pool.put_back(self.address, connection);
                 }
                 Ok(None)
--- a/crates/forwarding/src/hop/mod.rs
+++ b/crates/forwarding/src/hop/mod.rs
@@ -1,4 +1,4 @@
-//! The way from one node to another: one exchange at a time on a connection, in bitcode frames.
+//! Protocol between two nodes: one exchange at a time on a connection, in bitcode frames.
 
 mod client;
 mod protocol;
--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -1,4 +1,4 @@
-//! Messages between two nodes about one request.
+//! Messages that two nodes exchange about one request.
 
 use std::time::Duration;
 
@@ -13,33 +13,33 @@
 use crate::message::{Attempt, NotRun, RequestBody, Response, RunCall};
 use crate::outcome::{NotRunReason, UnknownReason};
 
-/// From the caller's node to the node beside the back end.
+/// Message from the caller's node to the back end's node.
 #[derive(Debug, Encode, Decode)]
 pub(crate) enum HopRequest {
     /// Starts an exchange.
-    Open(Box<OpenHop>),
-    /// A part of the body.
+    Open(Box<OpenExchange>),
+    /// A part of the request body.
     BodyPart(Vec<u8>),
-    /// The body has come to its proper end.
+    /// The request body is complete.
     BodyEnd,
 }
 
-/// From the node beside the back end to the caller's node.
+/// Message from the back end's node to the caller's node.
 #[derive(Debug, Encode, Decode)]
 pub(crate) enum HopResponse {
-    /// So many more bytes of the request's body may be sent.
+    /// Grants the caller's node this number of further bytes of the request body.
     SendBody(u32),
-    /// The back end answered.
-    Answered(Box<HopAnswer>),
+    /// The back end sent a response.
+    Answered(Box<HopResponseHead>),
     /// The request did not run and never will.
     NotRun(HopNotRun),
     /// The request may have run.
     Unknown(UnknownReason),
-    /// A part of the answer's body.
+    /// A part of the response body.
     BodyPart(Vec<u8>),
-    /// The answer's body has come to its proper end.
+    /// The response body is complete.
     BodyEnd,
-    /// The answer's body broke off.
+    /// The response body ended prematurely.
     BodyBroken,
 }
 
@@ -50,18 +50,19 @@
     value: Vec<u8>,
 }
 
-/// How a body travels.
+/// How a body is transferred.
 #[derive(Debug, Encode, Decode)]
 pub(crate) enum HopBody {
-    /// Inside this message.
+    /// Inline in this message.
     Whole(Vec<u8>),
-    /// In parts that follow, with its length, if known. Those of a request wait for [`HopResponse::SendBody`].
+    /// In separate parts that follow, with the total length if known. The parts of a request body are sent
+    /// only as [`HopResponse::SendBody`] grants them.
     Parts(Option<u64>),
 }
 
-/// Everything about an attempt but its body's parts. Times are relative, in microseconds.
+/// An attempt without the parts of its body. Times are relative, in microseconds.
 #[derive(Debug, Encode, Decode)]
-pub(crate) struct OpenHop {
+pub(crate) struct OpenExchange {
     id: Vec<u8>,
     fingerprint: RequestFingerprint,
     key: Option<Vec<u8>>,
@@ -86,15 +87,15 @@
     pub(crate) body: HopBody,
 }
 
-/// An answer's head, and its body if it is short.
+/// Head of a response, and its body if that is short.
 #[derive(Debug, Encode, Decode)]
-pub(crate) struct HopAnswer {
+pub(crate) struct HopResponseHead {
     pub(crate) status: u16,
     pub(crate) fields: Vec<HopField>,
     pub(crate) body: HopBody,
-    /// Microseconds in the back end.
+    /// Time in the back end, in microseconds.
     pub(crate) back_end_time: u64,
-    /// Microseconds in the queue.
+    /// Time in the queue, in microseconds.
     pub(crate) waited: u64,
     pub(crate) load: LoadReport,
 }
@@ -104,12 +105,12 @@
 pub(crate) struct HopNotRun {
     reason: NotRunReason,
     reached_back_end: bool,
-    /// Microseconds.
+    /// In microseconds.
     retry_after: Option<u64>,
     load: Option<LoadReport>,
 }
 
-/// What a call brings along of the run that makes it.
+/// Properties that a call inherits from the run that makes it.
 #[derive(Debug, Encode, Decode)]
 struct HopCall {
     level: CallLevel,
@@ -126,8 +127,8 @@
     }
 }
 
-impl OpenHop {
-    /// The message for `attempt`, whose body travels as `body`.
+impl OpenExchange {
+    /// Creates the message for `attempt`, whose body is transferred as `body`.
     pub(crate) fn of(attempt: &Attempt, body: HopBody) -> Self {
         let now = Instant::now();
         Self {
@@ -156,7 +157,7 @@
         }
     }
 
-    /// The attempt, with `body` for its body.
+    /// Converts the message to an attempt with the given body.
     pub(crate) fn into_attempt(self, body: RequestBody) -> Attempt {
         let now = Instant::now();
         Attempt {
@@ -187,16 +188,16 @@
     }
 }
 
-impl HopAnswer {
-    /// The message for `answer`, whose body travels as `body`.
-    pub(crate) fn of(answer: &Response, body: HopBody) -> Self {
+impl HopResponseHead {
+    /// Creates the message for `response`, whose body is transferred as `body`.
+    pub(crate) fn of(response: &Response, body: HopBody) -> Self {
         Self {
-            status: answer.status,
-            fields: encode_fields(&answer.fields),
+            status: response.status,
+            fields: encode_fields(&response.fields),
             body,
-            back_end_time: micros(answer.back_end_time),
-            waited: micros(answer.waited),
-            load: answer.load,
+            back_end_time: micros(response.back_end_time),
+            waited: micros(response.waited),
+            load: response.load,
         }
     }
 }
@@ -213,12 +214,12 @@
 }
 
 impl From<HopNotRun> for NotRun {
-    fn from(told: HopNotRun) -> Self {
+    fn from(hop_not_run: HopNotRun) -> Self {
         Self {
-            reason: told.reason,
-            reached_back_end: told.reached_back_end,
-            retry_after: told.retry_after.map(Duration::from_micros),
-            load: told.load,
+            reason: hop_not_run.reason,
+            reached_back_end: hop_not_run.reached_back_end,
+            retry_after: hop_not_run.retry_after.map(Duration::from_micros),
+            load: hop_not_run.load,
         }
     }
 }
--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -1,4 +1,4 @@
-//! The queue before the back end, with the tasks that wait in it.
+//! Admission queue of the back end, in which requests wait for a free slot.
 
 #[cfg(test)]
 mod tests;
@@ -18,19 +18,19 @@
 
 use crate::clock::now;
 
-type Verdict = Result<(), Refusal>;
+type AdmissionResult = Result<(), Refusal>;
 
-/// The task that waits for the verdict on one request.
+/// A task that waits for the admission decision on one request.
 #[derive(Debug)]
 struct Waiter {
-    sender: oneshot::Sender<Verdict>,
+    sender: oneshot::Sender<AdmissionResult>,
     holder: SlotHolder,
 }
 
-/// What has a slot, or waits for one.
+/// The request that holds a slot or waits for one.
 #[derive(Debug, Clone, Copy)]
 struct SlotHolder {
-    /// Whose request it is; absent if of none.
+    /// Tenant of the request; `None` if it has no tenant.
     tenant: Option<TenantId>,
     is_call: bool,
 }
@@ -45,33 +45,33 @@
 struct State {
     queue: WorkQueue,
     waiters: HashMap<Ticket, Waiter>,
-    /// When the queue is looked at again because the pace of a cold back end lets a request start then.
-    look_at: Option<Instant>,
+    /// Scheduled time of the next queue check, when the start rate of a cold back end lets a request start.
+    next_check_at: Option<Instant>,
 }
 
 impl State {
-    /// Gives free slots to those that wait.
+    /// Assigns free slots to waiting requests and rejects the expired ones.
     fn start_waiting(&mut self) {
         while let Some(started) = self.queue.start_next(now()) {
             match started {
-                Dequeued::Run(ticket) => self.hand_slot(ticket),
+                Dequeued::Run(ticket) => self.assign_slot(ticket),
                 Dequeued::Expire(ticket) => {
-                    self.tell(ticket, Err(Refusal::Expired));
+                    self.send_decision(ticket, Err(Refusal::Expired));
                 }
             }
         }
     }
 
-    /// Gives a slot to the waiter of `ticket`. It is free again if that one is gone.
-    fn hand_slot(&mut self, ticket: Ticket) {
+    /// Assigns a slot to the waiter of `ticket`, or frees the slot if that waiter was dropped.
+    fn assign_slot(&mut self, ticket: Ticket) {
         let Some(waiter) = self.waiters.remove(&ticket) else { return self.queue.finish(None) };
         if waiter.sender.send(Ok(())).is_err() {
-            self.free_slot(SlotUse::unused(waiter.holder));
+            self.release_slot(SlotUse::unused(waiter.holder));
         }
     }
 
-    /// Takes in that a slot is free again.
-    fn free_slot(&mut self, slot: SlotUse) {
+    /// Frees a slot and records how it was used.
+    fn release_slot(&mut self, slot: SlotUse) {
         if let Some(tenant) = slot.holder.tenant {
             self.queue.settle(tenant, slot.held);
         }
@@ -82,57 +82,58 @@
         }
     }
 
-    /// Refuses those that had to make room for others.
+    /// Rejects the requests that were displaced from the queue by others.
     fn refuse_displaced(&mut self) {
         for displaced in self.queue.take_displaced() {
-            self.tell(displaced.ticket, Err(Refusal::OverShare { expected: displaced.expected }));
+            self.send_decision(displaced.ticket, Err(Refusal::OverShare { expected: displaced.expected }));
         }
     }
 
-    /// Wakes the waiter of `ticket`, if it is still there.
-    fn tell(&mut self, ticket: Ticket, verdict: Verdict) {
+    /// Sends the decision to the waiter of `ticket`, if it still exists.
+    fn send_decision(&mut self, ticket: Ticket, decision: AdmissionResult) {
         if let Some(waiter) = self.waiters.remove(&ticket) {
-            // A waiter that is gone needs no refusal.
-            let _ = waiter.sender.send(verdict);
+            // The send fails only if the waiter was dropped, and then nobody needs the decision.
+            let _ = waiter.sender.send(decision);
         }
     }
 }
 
-/// What became of a slot that was given.
+/// How an assigned slot was used.
 #[derive(Debug, Clone, Copy)]
 struct SlotUse {
     holder: SlotHolder,
     held: Duration,
-    /// Time that the back end took, if it answered.
+    /// Service time at the back end's usual speed; `None` if the back end sent no response.
     served: Option<Duration>,
 }
 
 impl SlotUse {
-    /// Of a slot whose holder had gone before it had it.
+    /// A slot that was assigned to a waiter that had been dropped.
     const fn unused(holder: SlotHolder) -> Self {
         Self { holder, held: Duration::ZERO, served: None }
     }
 }
 
-/// How the tenants of one back end stand.
+/// Slot use of the tenants of one back end.
 #[derive(Debug)]
-pub(super) struct TenantStandings {
+pub(super) struct TenantUsages {
     /// Number of tenants that share the slots.
     pub(super) count: usize,
-    /// Those that took most, the greatest first.
+    /// The tenants with the highest slot use, in descending order.
     pub(super) greatest: Vec<TenantUsage>,
 }
 
-/// The queue before the back end.
+/// Admission queue of the back end.
 #[derive(Debug, Default)]
 pub(crate) struct Admission {
     state: Mutex<State>,
-    /// Told when the back end should be asked whether it is warm.
-    word_wanted: Notify,
+    /// Notified when the back end needs a warmth probe.
+    warmth_probe_due: Notify,
 }
 
 impl Admission {
-    /// Before a back end of which nothing is known. `keeps_slots`: whether new requests leave slots to calls.
+    /// Creates the queue of a back end without any measurements. If `keeps_slots` is set, new requests leave
+    /// slots free for calls.
     pub(crate) fn new(keeps_slots: bool) -> Arc<Self> {
         let admission = Self::default();
         admission.state.lock().queue.reserve_slots_for_calls(keeps_slots);
@@ -141,11 +142,11 @@
 
     /// Waits for a slot. Dropping the future withdraws the request.
     pub(crate) async fn admit(self: &Arc<Self>, item: WorkItem) -> Result<Permit, Refusal> {
-        let (ticket, verdict) = {
+        let (ticket, decision) = {
             let mut state = self.state.lock();
             match state.queue.offer(now(), item) {
                 Decision::Start => {
-                    self.follow_pace(&mut state);
+                    self.schedule_check(&mut state);
                     return Ok(Permit::new(self, SlotHolder::of(&item)));
                 }
                 Decision::Refuse(refusal) => return Err(refusal),
@@ -153,73 +154,73 @@
                     let (sender, receiver) = oneshot::channel();
                     state.waiters.insert(ticket, Waiter { sender, holder: SlotHolder::of(&item) });
                     state.refuse_displaced();
-                    self.follow_pace(&mut state);
+                    self.schedule_check(&mut state);
                     (ticket, receiver)
                 }
             }
         };
-        let (holder, verdict) = (SlotHolder::of(&item), Some(verdict));
-        let mut waiting = Waiting { admission: Arc::clone(self), ticket, holder, verdict };
+        let (holder, decision) = (SlotHolder::of(&item), Some(decision));
+        let mut waiting = Waiting { admission: Arc::clone(self), ticket, holder, decision };
         waiting.result(item).await
     }
 
-    /// Takes new work, `slots` requests at once.
+    /// Starts to admit requests, up to `slots` at a time.
     pub(crate) fn open(self: &Arc<Self>, slots: u32) {
         let mut state = self.state.lock();
         state.queue.set_slots(slots);
-        // It may have turned cold while it took nothing.
+        // The back end may have become cold while it received no requests.
         state.queue.cold_start_limiter().doubt();
         state.queue.open();
         self.start_waiting(&mut state);
     }
 
-    /// Takes no new work and refuses what waits.
+    /// Stops admitting requests and rejects the waiting ones.
     pub(crate) fn close(&self) {
         let mut state = self.state.lock();
         for ticket in state.queue.close() {
-            state.tell(ticket, Err(Refusal::Closed));
+            state.send_decision(ticket, Err(Refusal::Closed));
         }
     }
 
-    /// Refuses what waits.
-    pub(crate) fn turn_away_waiting(&self) {
+    /// Rejects the waiting requests and goes on admitting new ones.
+    pub(crate) fn reject_waiting(&self) {
         let mut state = self.state.lock();
         for ticket in state.queue.cancel_waiting() {
-            state.tell(ticket, Err(Refusal::Closed));
+            state.send_decision(ticket, Err(Refusal::Closed));
         }
     }
 
-    /// Forgets what was learnt of the back end: another one stands in its place, and it may be cold.
-    pub(crate) fn forget_back_end(&self) {
+    /// Discards the measurements of the back end, because another one replaces it and may be cold.
+    pub(crate) fn reset_back_end(&self) {
         let mut state = self.state.lock();
         state.queue.reset_statistics();
         state.queue.cold_start_limiter().forget();
     }
 
-    /// Sets the rate of requests that a cold back end of the service bears.
+    /// Sets the request rate that a cold back end of the service can handle.
     pub(crate) fn set_cold_rate(self: &Arc<Self>, rate: Option<RequestRate>) {
-        self.change_pace(|cold_start_limiter| cold_start_limiter.set_rate(now(), rate));
+        self.update_cold_start(|cold_start_limiter| cold_start_limiter.set_rate(now(), rate));
     }
 
-    /// Takes in what is known of the back end's warmth, and starts what may start now.
-    pub(crate) fn change_pace(self: &Arc<Self>, change: impl FnOnce(&mut ColdStartLimiter)) {
+    /// Updates the warmth state of the back end, then starts the requests that may start now.
+    pub(crate) fn update_cold_start(self: &Arc<Self>, change: impl FnOnce(&mut ColdStartLimiter)) {
         let mut state = self.state.lock();
         change(state.queue.cold_start_limiter());
         self.start_waiting(&mut state);
     }
 
-    /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now.
+    /// Waits until the back end needs a warmth probe, and marks the probe as started.
     pub(crate) async fn begin_warmth_probe(&self) {
         loop {
-            let notified = self.word_wanted.notified();
-            if self.try_begin_question() {
+            let notified = self.warmth_probe_due.notified();
+            if self.try_begin_warmth_probe() {
                 return;
             }
             notified.await;
         }
     }
 
-    fn try_begin_question(&self) -> bool {
+    fn try_begin_warmth_probe(&self) -> bool {
         let mut state = self.state.lock();
         let cold_start_limiter = state.queue.cold_start_limiter();
         if !cold_start_limiter.needs_warmth_probe(now()) {
@@ -229,69 +230,70 @@
         true
     }
 
-    /// Takes in that work takes `percent` hundredths of the usual time at the back end now.
+    /// Records that work currently takes `percent` hundredths of its usual time at the back end.
     pub(crate) fn on_slowdown(&self, percent: u16) -> Result<(), InvalidSlowdown> {
         self.state.lock().queue.slowdown().on_word(now(), percent)
     }
 
-    /// Time that work which ends now and has taken `taken` would have taken at the back end's usual speed.
+    /// Converts the duration `taken` of work that ends now to its duration at the back end's usual speed.
     fn normalized_time(&self, taken: Duration) -> Duration {
         self.state.lock().queue.slowdown().normalized_time(now(), taken)
     }
 
-    /// Whether requests wait for a slot, or were refused one a moment ago.
+    /// Whether requests wait for a slot, or were rejected for lack of one a short time ago.
     pub(crate) fn is_slot_wanted(&self) -> bool {
         self.state.lock().queue.is_slot_wanted(now())
     }
 
-    /// The load, for others.
+    /// Load report for other nodes.
     pub(crate) fn report(&self) -> LoadReport {
         self.state.lock().queue.report(now())
     }
 
-    /// Takes in whether an answer came back sound.
-    pub(crate) fn record_response(&self, is_sound: bool) {
-        self.state.lock().queue.record_response(is_sound);
+    /// Records whether a run ended with a valid response.
+    pub(crate) fn record_response(&self, is_intact: bool) {
+        self.state.lock().queue.record_response(is_intact);
     }
 
-    /// How a tenant stands; absent if none of its requests has waited of late.
-    pub(super) fn standing(&self, tenant: TenantId) -> Option<TenantUsage> {
+    /// Slot use of a tenant; `None` if none of its requests has waited recently.
+    pub(super) fn usage(&self, tenant: TenantId) -> Option<TenantUsage> {
         self.state.lock().queue.standing(now(), tenant)
     }
 
-    /// How tenants stand, the greatest `count` of them named.
-    pub(super) fn standings(&self, count: usize) -> TenantStandings {
+    /// Slot use of the tenants, listing the `count` tenants with the highest use.
+    pub(super) fn usages(&self, count: usize) -> TenantUsages {
         let state = self.state.lock();
         let greatest = state.queue.top_tenants(now(), count);
-        TenantStandings { count: state.queue.tenant_count(), greatest }
+        TenantUsages { count: state.queue.tenant_count(), greatest }
     }
 
-    fn free_slot(self: &Arc<Self>, slot: SlotUse) {
+    fn release_slot(self: &Arc<Self>, slot: SlotUse) {
         let mut state = self.state.lock();
-        state.free_slot(slot);
+        state.release_slot(slot);
         self.start_waiting(&mut state);
     }
 
     fn start_waiting(self: &Arc<Self>, state: &mut State) {
         state.start_waiting();
-        self.follow_pace(state);
+        self.schedule_check(state);
     }
 
-    /// Sees to it that the queue is looked at again when the pace lets a request start, and that the back end is asked whether it is warm.
-    fn follow_pace(self: &Arc<Self>, state: &mut State) {
+    /// Schedules a queue check for when the start rate of a cold back end lets the next request start, and
+    /// requests a warmth probe if one is due.
+    fn schedule_check(self: &Arc<Self>, state: &mut State) {
         if state.queue.cold_start_limiter().needs_warmth_probe(now()) {
-            self.word_wanted.notify_one();
+            self.warmth_probe_due.notify_one();
         }
         let Some(at) = state.queue.rate_limited_until(now()).map(Instant::from_std) else { return };
-        if state.look_at.is_some_and(|planned| planned <= at && planned > Instant::now()) {
+        if state.next_check_at.is_some_and(|planned| planned <= at && planned > Instant::now()) {
             return;
         }
-        state.look_at = Some(at);
+        state.next_check_at = Some(at);
         let admission = Arc::clone(self);
         tokio::spawn(async move {
             sleep_until(at).await;
             let mut state = admission.state.lock();
-            state.look_at.take_if(|planned| *planned <= at);
+            state.next_check_at.take_if(|planned| *planned <= at);
             admission.start_waiting(&mut state);
         });
     }
@@ -308,20 +310,20 @@
     admission: Arc<Admission>,
     ticket: Ticket,
     holder: SlotHolder,
-    verdict: Option<oneshot::Receiver<Verdict>>,
+    decision: Option<oneshot::Receiver<AdmissionResult>>,
 }
 
 impl Waiting {
     async fn result(&mut self, item: WorkItem) -> Result<Permit, Refusal> {
-        let Some(verdict) = &mut self.verdict else { return Err(Refusal::Closed) };
-        let told = timeout_at(item.queue_deadline.min(item.deadline).into(), verdict).await;
-        match told {
+        let Some(decision) = &mut self.decision else { return Err(Refusal::Closed) };
+        let outcome = timeout_at(item.queue_deadline.min(item.deadline).into(), decision).await;
+        match outcome {
             Ok(Ok(Ok(()))) => {
-                self.verdict = None;
+                self.decision = None;
                 Ok(Permit::new(&self.admission, self.holder))
             }
             Ok(Ok(Err(refusal))) => {
-                self.verdict = None;
+                self.decision = None;
                 Err(refusal)
             }
             Ok(Err(_sender_dropped)) => Err(Refusal::Closed),
@@ -333,16 +335,16 @@
 
 impl Drop for Waiting {
     fn drop(&mut self) {
-        let Some(mut verdict) = self.verdict.take() else { return };
+        let Some(mut decision) = self.decision.take() else { return };
         self.admission.withdraw(self.ticket);
-        // The slot may have been given in the very moment in which the waiter gave up.
-        if matches!(verdict.try_recv(), Ok(Ok(()))) {
-            self.admission.free_slot(SlotUse::unused(self.holder));
+        // A slot may have been assigned just before the waiter timed out or was cancelled.
+        if matches!(decision.try_recv(), Ok(Ok(()))) {
+            self.admission.release_slot(SlotUse::unused(self.holder));
         }
     }
 }
 
-/// One slot of the back end; it is free again when this is dropped.
+/// One slot of the back end, freed on drop.
 #[derive(Debug)]
 pub(crate) struct Permit {
     admission: Arc<Admission>,
@@ -356,12 +358,13 @@
         Self { admission: Arc::clone(admission), holder, started: Instant::now(), served: None }
     }
 
-    /// Time since the slot was given.
+    /// Time since the slot was assigned.
     pub(crate) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
-    /// Takes in that the back end has answered, so that its time counts. What the answer tells of the back end's speed is taken in before.
+    /// Records that the back end has responded, so that its service time counts. A slowdown that the response
+    /// reports must be recorded before.
     pub(crate) fn on_answered(&mut self) {
         self.served = Some(self.admission.normalized_time(self.started.elapsed()));
     }
@@ -370,6 +373,6 @@
 impl Drop for Permit {
     fn drop(&mut self) {
         let held = self.started.elapsed();
-        self.admission.free_slot(SlotUse { holder: self.holder, held, served: self.served });
+        self.admission.release_slot(SlotUse { holder: self.holder, held, served: self.served });
     }
 }
--- a/crates/forwarding/src/inbound/admission/tests.rs
+++ b/crates/forwarding/src/inbound/admission/tests.rs
@@ -1,4 +1,4 @@
-//! Waiters of several tenants before one slot.
+//! Waiters of several tenants that share one slot.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,7 +12,7 @@
 
 const GREEDY: TenantId = TenantId(0);
 const OTHER: TenantId = TenantId(1);
-/// Requests that may wait before one slot.
+/// Number of requests that may wait for one slot.
 const FULL: usize = 20;
 const TIME: Duration = Duration::from_secs(20);
 const MOMENT: Duration = Duration::from_millis(1);
@@ -31,14 +31,14 @@
     }
 }
 
-/// Waits for a slot, and gives it back at once.
+/// Waits for a slot and frees it immediately.
 fn admit(admission: &Arc<Admission>, tenant: TenantId) -> JoinHandle<Result<(), Refusal>> {
     let admission = Arc::clone(admission);
     tokio::spawn(async move { admission.admit(item(Some(tenant))).await.map(drop) })
 }
 
 #[tokio::test(start_paused = true)]
-async fn whoever_makes_room_in_a_full_queue_is_told_at_once_and_never_gets_a_slot() {
+async fn displaced_waiter_is_rejected_immediately_and_gets_no_slot() {
     let admission = Arc::new(Admission::default());
     admission.open(1);
     let permit = admission.admit(item(None)).await.expect("a free slot");
@@ -47,7 +47,7 @@
     let other = admit(&admission, OTHER);
     sleep(MOMENT).await;
     let displaced: Vec<_> = greedy.extract_if(.., |waiter| waiter.is_finished()).collect();
-    assert_eq!(displaced.len(), 1, "one makes room while the slot is still taken");
+    assert_eq!(displaced.len(), 1, "one waiter is displaced while the slot is still taken");
     for waiter in displaced {
         assert!(matches!(waiter.await.unwrap(), Err(Refusal::OverShare { .. })));
     }
@@ -60,9 +60,9 @@
     assert_eq!((load.running, load.waiting), (0, 0));
 }
 
-/// A waiter that has gone counts neither for its tenant nor for the slots.
+/// A dropped waiter must count neither for its tenant nor for the slots.
 #[tokio::test(start_paused = true)]
-async fn a_waiter_of_a_tenant_that_leaves_frees_its_place() {
+async fn dropped_waiter_frees_its_place_in_the_queue() {
     let admission = Arc::new(Admission::default());
     admission.open(1);
     let permit = admission.admit(item(None)).await.expect("a free slot");
@@ -75,5 +75,5 @@
     assert_eq!(admission.report().waiting, 0);
     drop(permit);
     assert_eq!(admit(&admission, GREEDY).await.unwrap(), Ok(()));
-    assert_eq!(admission.standing(GREEDY), None, "nothing is kept once a slot was free for whoever came");
+    assert_eq!(admission.usage(GREEDY), None, "no usage is kept once a slot was free for every request");
 }
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -1,4 +1,4 @@
-//! What is known of the back end beside this node.
+//! State of the local back end and of the inbound side that serves it.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -16,9 +16,9 @@
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::admission::Admission;
-use super::body_link::BodyLink;
 use super::crash_watch::{CrashReport, CrashWatch};
-use super::suspect_lane::SuspectLane;
+use super::suspect_limiter::SuspectLimiter;
+use super::transfer_scheduler::TransferScheduler;
 use crate::calls::CallGate;
 use crate::clock::now;
 use crate::header_profile::HeaderProfile;
@@ -27,19 +27,20 @@
 use crate::routing::TenantTable;
 use crate::suspended_time::SuspendedTime;
 use crate::upstream::{
-    Health, LoadListener, ReportedSlowdown, UpstreamPool, UpstreamSettings, probe_health, told_slowdown,
+    Health, LoadListener, ReportedSlowdown, UpstreamPool, UpstreamSettings, parse_slowdown, probe_health,
 };
 
-/// Limits of the inbound half.
+/// Settings of the inbound side.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct InboundSettings {
-    /// Longest time to open a connection to the back end.
+    /// Timeout for opening a connection to the back end.
     pub connect_time: Duration,
-    /// Most idle connections kept to the back end.
+    /// Maximum number of idle connections to the back end.
     pub idle_connections: usize,
-    /// Bytes a second that this node's link bears; absent if that is not known.
+    /// Bandwidth of this node's link in bytes per second; `None` if unknown.
     pub link_rate: Option<f64>,
-    /// Whether new requests leave slots of the back end to calls of runs, in the measure in which calls have come.
+    /// Whether new requests leave slots of the back end free for calls of runs, in proportion to the calls
+    /// that have arrived.
     pub keeps_slots_for_calls: bool,
 }
 
@@ -54,65 +55,65 @@
     }
 }
 
-/// One life of the back end.
+/// One process of the back end, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackEnd {
-    /// This life of it.
+    /// Identity of the process.
     pub life: BackEndProcess,
-    /// Service that it serves.
+    /// Service that the back end implements.
     pub service: ServiceName,
-    /// Version of its software; absent if it has not told it.
+    /// Software release; `None` if the back end has not reported it.
     pub release: Option<ReleaseName>,
-    /// Address at which it takes requests.
+    /// Address on which it accepts requests.
     pub address: SocketAddr,
-    /// Requests it works on at once.
+    /// Maximum number of requests that it runs concurrently.
     pub slots: u32,
 }
 
 #[derive(Debug)]
-pub(super) struct Current {
+pub(super) struct CurrentBackEnd {
     pub(super) back_end: BackEnd,
     pub(super) pool: Arc<UpstreamPool>,
     pub(super) watch: Arc<CrashWatch>,
     pub(super) is_open: bool,
 }
 
-/// Whose requests this half takes, whatever the callers' nodes believe.
+/// Tenants and region by which this node accepts requests, whatever the callers' nodes have checked.
 #[derive(Debug)]
 pub(crate) struct InboundAccess {
     pub(crate) tenants: Arc<TenantTable>,
-    /// Where this node runs.
+    /// Region of this node.
     pub(crate) region: RegionName,
 }
 
-/// The inbound half of one node.
+/// The inbound side of one node.
 pub struct Inbound {
     pub(super) header_profile: HeaderProfile,
     settings: InboundSettings,
     network: Arc<dyn Network>,
     pub(super) telemetry: Telemetry,
     pub(super) admission: Arc<Admission>,
-    pub(super) link: BodyLink,
-    pub(super) current: Mutex<Option<Current>>,
+    pub(super) transfers: TransferScheduler,
+    pub(super) current: Mutex<Option<CurrentBackEnd>>,
     pub(super) duplicates: Mutex<DuplicateWindow>,
     unreachable: Mutex<Option<mpsc::UnboundedSender<BackEndProcess>>>,
-    /// Whether the configuration in force lets the back end's service be served where this node runs.
+    /// Whether the active configuration allows the back end's service at this node's location.
     pub(super) may_serve: AtomicBool,
-    /// Whose requests are taken; absent before the first configuration.
+    /// Tenants and region by which requests are accepted; `None` before the first configuration.
     pub(super) access: ArcSwapOption<InboundAccess>,
     /// Whether operators have evacuated the zone of this node.
     pub(super) is_evacuated: AtomicBool,
-    /// Whether the rollout of the service leaves the back end's release any requests.
+    /// Whether the rollout of the service routes any requests to the back end's release.
     is_release_open: AtomicBool,
     pub(super) answers: Mutex<AnswerTally>,
     pub(super) runs: Arc<ActiveRuns>,
     pub(super) calls: CallGate,
     pub(super) suspended: Arc<SuspendedTime>,
-    /// When operators were told last how tenants share the slots.
-    pub(super) shares_told_at: Mutex<Option<Instant>>,
+    /// When the tenant shares were last logged.
+    pub(super) shares_logged_at: Mutex<Option<Instant>>,
     pub(super) quarantine: Arc<Quarantine>,
-    pub(super) suspect_lane: Arc<SuspectLane>,
-    /// The budgets that pay for the calls of repeated runs.
+    pub(super) suspect_limiter: Arc<SuspectLimiter>,
+    /// Retry budgets that limit the calls of retried runs.
     pub(super) ledger: OnceLock<Arc<RetryLedger>>,
 }
 
@@ -123,7 +124,7 @@
 }
 
 impl Inbound {
-    /// The inbound half of a node whose back end is not known yet.
+    /// Creates the inbound side of a node whose back end is not known yet.
     #[must_use]
     pub fn new(
         header_profile: HeaderProfile,
@@ -138,7 +139,7 @@
             network,
             telemetry,
             admission: Admission::new(settings.keeps_slots_for_calls),
-            link: BodyLink::new(settings.link_rate),
+            transfers: TransferScheduler::new(settings.link_rate),
             current: Mutex::new(None),
             duplicates: Mutex::default(),
             unreachable: Mutex::new(None),
@@ -150,21 +151,21 @@
             runs: Arc::new(ActiveRuns::new(header_profile.call_separator)),
             calls: CallGate::default(),
             suspended: Arc::default(),
-            suspect_lane: SuspectLane::new(Arc::clone(&quarantine)),
+            suspect_limiter: SuspectLimiter::new(Arc::clone(&quarantine)),
             quarantine,
-            shares_told_at: Mutex::default(),
+            shares_logged_at: Mutex::default(),
             ledger: OnceLock::new(),
         }
     }
 
-    /// The lives of the back end that could not be reached, from now on.
+    /// Returns a channel that receives each process of the back end that cannot be reached from now on.
     pub fn watch_unreachable(&self) -> mpsc::UnboundedReceiver<BackEndProcess> {
         let (sender, receiver) = mpsc::unbounded_channel();
         *self.unreachable.lock() = Some(sender);
         receiver
     }
 
-    /// Takes new work for `back_end` from now on.
+    /// Starts to accept requests for `back_end`.
     pub fn open(&self, back_end: BackEnd) {
         let mut current = self.current.lock();
         let is_same = current.as_ref().is_some_and(|held| {
@@ -172,37 +173,38 @@
         });
         if !is_same {
             self.admission.close();
-            self.admission.forget_back_end();
+            self.admission.reset_back_end();
             self.answers.lock().clear();
         }
         let (pool, watch) = match current.take() {
-            Some(held) if is_same && !held.watch.has_ended() => (held.pool, held.watch),
-            // Also one that has ended and is there again under the same name.
+            Some(held) if is_same && !held.watch.is_crash_known() => (held.pool, held.watch),
+            // Also covers a back end that crashed and restarted under the same name.
             before => {
-                self.replace(before);
+                self.handle_replacement(before);
                 (self.new_pool(back_end.address), Arc::default())
             }
         };
         self.admission.open(back_end.slots);
-        self.link.open();
-        *current = Some(Current { back_end, pool, watch, is_open: true });
+        self.transfers.open();
+        *current = Some(CurrentBackEnd { back_end, pool, watch, is_open: true });
     }
 
-    /// Takes in that another life of the back end has come after `before`. If that one took work until now it has ended without a word.
-    fn replace(&self, before: Option<Current>) {
+    /// Handles the replacement of `before` by another process of the back end. If `before` was still
+    /// accepting requests, it ended without announcing its shutdown, which counts as a crash.
+    fn handle_replacement(&self, before: Option<CurrentBackEnd>) {
         let Some(before) = before.filter(|before| before.is_open) else { return };
-        if let Some(report) = before.watch.end(&before.back_end.life.instance) {
+        if let Some(report) = before.watch.record_crash(&before.back_end.life.instance) {
             self.on_crash(&before.back_end, "replaced", &report);
         }
     }
 
-    /// Takes no new work from now on; what waits is refused, what runs goes on.
+    /// Stops accepting requests: rejects the waiting ones and lets the running ones finish.
     pub fn close(&self) {
         if let Some(current) = self.current.lock().as_mut() {
             current.is_open = false;
         }
         self.admission.close();
-        self.link.close();
+        self.transfers.close();
     }
 
     /// Service of the back end, if one is known.
@@ -211,107 +213,111 @@
         self.current.lock().as_ref().map(|current| current.back_end.service.clone())
     }
 
-    /// Sets whether the back end's service may be served where this node runs.
+    /// Sets whether the back end's service may be served at this node's location.
     pub fn set_may_serve(&self, may_serve: bool) {
         self.may_serve.store(may_serve, Ordering::Relaxed);
     }
 
-    /// Sets whose requests are taken by the configuration in force.
+    /// Sets the tenants and the region by which the active configuration accepts requests.
     pub(crate) fn set_access(&self, access: InboundAccess) {
         self.access.store(Some(Arc::new(access)));
     }
 
-    /// Sets whether operators have evacuated the zone of this node. While it is, nothing new is handed to the back end, also of what waits; once it is taken back, the back end may
-    /// be cold.
+    /// Sets whether operators have evacuated the zone of this node. During an evacuation the back end
+    /// receives no new requests, and the waiting ones are rejected. When the evacuation is revoked, the back
+    /// end may be cold.
     pub fn set_evacuated(&self, is_evacuated: bool) {
         if self.is_evacuated.swap(is_evacuated, Ordering::Relaxed) == is_evacuated {
             return;
         }
         if is_evacuated {
-            self.admission.turn_away_waiting();
+            self.admission.reject_waiting();
         } else {
-            self.admission.change_pace(ColdStartLimiter::doubt);
+            self.admission.update_cold_start(ColdStartLimiter::doubt);
         }
     }
 
-    /// Sets the rate of requests that a cold back end of the service bears; absent if the configuration names none.
+    /// Sets the request rate that a cold back end of the service can handle; `None` if the configuration
+    /// names none.
     pub fn set_cold_rate(&self, rate: Option<RequestRate>) {
         self.admission.set_cold_rate(rate);
     }
 
-    /// Takes in that the back end is cold for so long.
+    /// Records that the back end stays cold for `cold_for`.
     pub fn on_cold(&self, cold_for: Duration) {
-        self.admission.change_pace(|cold_start_limiter| cold_start_limiter.on_cold(now(), cold_for));
+        self.admission.update_cold_start(|cold_start_limiter| cold_start_limiter.on_cold(now(), cold_for));
     }
 
-    /// Waits until the back end should be asked whether it is warm, and takes in that it is asked now. Whoever awaits this asks, and
-    /// tells what came of it by [`Inbound::on_warm`], [`Inbound::on_cold`] or [`Inbound::on_warmth_probe_failed`].
+    /// Waits until the back end needs a warmth probe, and marks the probe as started. The caller must run the
+    /// probe and report its result through [`Inbound::on_warm`], [`Inbound::on_cold`] or
+    /// [`Inbound::on_warmth_probe_failed`]. Returns `None` if no back end is known.
     pub async fn begin_warmth_probe(&self) -> Option<BackEnd> {
         self.admission.begin_warmth_probe().await;
         self.current.lock().as_ref().map(|current| current.back_end.clone())
     }
 
-    /// Takes in that the back end has answered the question whether it is warm: it is.
+    /// Records that the warmth probe succeeded, which shows that the back end is warm.
     pub fn on_warm(&self) {
-        self.admission.change_pace(ColdStartLimiter::on_warm);
+        self.admission.update_cold_start(ColdStartLimiter::on_warm);
     }
 
-    /// Takes in that the question whether the back end is warm came to nothing.
+    /// Records that the warmth probe got no usable response.
     pub fn on_warmth_probe_failed(&self) {
-        self.admission.change_pace(ColdStartLimiter::on_warmth_probe_failed);
+        self.admission.update_cold_start(ColdStartLimiter::on_warmth_probe_failed);
     }
 
-    /// Sets whether the rollout of the service leaves the back end's release any requests. Without any, what waits or runs is
-    /// finished, and nothing new is taken.
+    /// Sets whether the rollout of the service routes any requests to the back end's release. If it routes
+    /// none, waiting and running requests are finished and new ones are rejected.
     pub fn set_release_open(&self, is_open: bool) {
         self.is_release_open.store(is_open, Ordering::Relaxed);
     }
 
-    /// Whether the rollout of the service leaves the back end's release any requests.
+    /// Whether the rollout of the service routes any requests to the back end's release.
     #[must_use]
     pub fn is_release_open(&self) -> bool {
         self.is_release_open.load(Ordering::Relaxed)
     }
 
-    /// Answers of the back end by route.
+    /// Response counts of the back end by route.
     #[must_use]
     pub fn answers(&self) -> Vec<RouteTally> {
         self.answers.lock().routes()
     }
 
-    /// The load of the back end.
+    /// Load report of the back end.
     #[must_use]
     pub fn load(&self) -> LoadReport {
         self.admission.report()
     }
 
-    /// Closes connections to the back end that may not serve again.
+    /// Closes the idle connections to the back end that can no longer be reused.
     pub fn close_expired(&self) {
         if let Some(current) = self.current.lock().as_ref() {
             current.pool.close_expired();
         }
     }
 
-    /// Asks the back end at `address` whether it is well; absent if it does not say so.
+    /// Checks the health of the back end at `address`; `None` if it does not report itself healthy.
     pub async fn probe_health(&self, address: SocketAddr, path: &str) -> Option<Health> {
         let health = probe_health(&*self.network, &self.header_profile, address, path).await?;
-        if self.is_of_present(address, &health) {
-            self.on_slowdown_word(health.slowdown);
+        if self.is_from_current_process(address, &health) {
+            self.on_reported_slowdown(health.slowdown);
         }
         Some(health)
     }
 
-    /// Whether `health` was told by the present life of the back end.
-    fn is_of_present(&self, address: SocketAddr, health: &Health) -> bool {
+    /// Whether `health` comes from the current process of the back end.
+    fn is_from_current_process(&self, address: SocketAddr, health: &Health) -> bool {
         let current = self.current.lock();
         let Some(back_end) = current.as_ref().map(|current| &current.back_end) else { return false };
-        let is_same_life = health.instance.as_ref().is_none_or(|told| *told == back_end.life.instance);
-        back_end.address == address && is_same_life
+        let is_same_process =
+            health.instance.as_ref().is_none_or(|reported| *reported == back_end.life.instance);
+        back_end.address == address && is_same_process
     }
 
-    /// Takes in how long work takes at the back end, by its word.
-    fn on_slowdown_word(&self, word: ReportedSlowdown) {
-        let is_valid = match word {
+    /// Records the slowdown that the back end reports.
+    fn on_reported_slowdown(&self, slowdown: ReportedSlowdown) {
+        let is_valid = match slowdown {
             ReportedSlowdown::Unreported => return,
             ReportedSlowdown::Percent(percent) => self.admission.on_slowdown(percent).is_ok(),
             ReportedSlowdown::Invalid => false,
@@ -319,38 +325,39 @@
         self.telemetry.metrics().slowdown_word(is_valid);
     }
 
-    /// Most bytes of one body that are on their way from another node at once.
+    /// Maximum number of bytes of one body that another node may have in flight.
     pub(crate) const fn body_window(&self) -> u32 {
-        self.link.window()
+        self.transfers.window()
     }
 
-    /// Sets the budgets that pay for the calls of repeated runs; they stay the same.
+    /// Sets the retry budgets that limit the calls of retried runs. Only the first call has an effect.
     pub(crate) fn set_ledger(&self, ledger: Arc<RetryLedger>) {
         let _ = self.ledger.set(ledger);
     }
 
-    /// The requests under suspicion of ending back ends.
+    /// The requests suspected of crashing back ends.
     #[must_use]
     pub const fn quarantine(&self) -> &Arc<Quarantine> {
         &self.quarantine
     }
 
-    /// The time for which the machine was suspended.
+    /// Time for which the machine was suspended.
     pub(crate) const fn suspended(&self) -> &Arc<SuspendedTime> {
         &self.suspended
     }
 
-    /// The runs at the back end.
+    /// Requests that run at the back end.
     pub(crate) const fn runs(&self) -> &Arc<ActiveRuns> {
         &self.runs
     }
 
-    /// How the calls of the runs fare.
+    /// Outcomes of the calls that the runs make.
     pub(crate) const fn calls(&self) -> &CallGate {
         &self.calls
     }
 
-    /// Takes in that the back end has ended; `found` tells by what that is known.
+    /// Reports a crash of the back end and the requests that ran there. `found` is how the crash was
+    /// detected.
     pub(super) fn on_crash(&self, back_end: &BackEnd, found: &'static str, report: &CrashReport) {
         let fingerprints: Vec<String> = report.requests.iter().map(|key| key.content.to_string()).collect();
         self.telemetry.emit(Event::BackEndCrashed {
@@ -363,9 +370,9 @@
         self.quarantine.on_crash(report.crash, &report.requests);
     }
 
-    pub(super) fn tell_unreachable(&self, life: &BackEndProcess) {
+    pub(super) fn report_unreachable(&self, life: &BackEndProcess) {
         if let Some(watcher) = &*self.unreachable.lock() {
-            // Nobody watches any more when the process leaves.
+            // The receiver is dropped while the process shuts down.
             let _ = watcher.send(life.clone());
         }
     }
@@ -381,7 +388,7 @@
 
 impl LoadListener for Inbound {
     fn on_load_field(&self, field: &str) {
-        self.on_slowdown_word(told_slowdown(field));
+        self.on_reported_slowdown(parse_slowdown(field));
     }
 }
 
--- a/crates/forwarding/src/inbound/crash_watch.rs
+++ b/crates/forwarding/src/inbound/crash_watch.rs
@@ -1,7 +1,8 @@
-//! Which requests ran at the back end when it ended.
+//! Tracks which requests ran at the back end when it crashed.
 //!
-//! A broken connection alone says little: an answer is lost, a full back end resets. A back end has ended if it takes no connections any more, or if another life
-//! of it is there though the one before did not say that it leaves.
+//! A broken connection alone does not show a crash: a response can be lost, and a full back end resets
+//! connections. A back end counts as crashed if it refuses connections, or if another process replaces it and
+//! it had not announced its shutdown.
 
 use std::collections::{BTreeSet, HashMap};
 use std::sync::Arc;
@@ -12,23 +13,25 @@
 use tokio::time::Instant;
 use umberpond_quarantine::{CrashId, RequestKey};
 
-use crate::upstream::{Contact, UpstreamPool};
+use crate::upstream::{ConnectCheck, UpstreamPool};
 
-/// Longest time in which a back end that lives takes a connection. It is on the same machine, and every request whose connection broke waits for this.
-const CONTACT_TIME: Duration = Duration::from_millis(50);
-/// Time for which a run without an answer counts as one during which the back end may have ended: longer than a back end takes to start anew.
-const LOST_TIME: Duration = Duration::from_secs(10);
-/// Most of them remembered.
+/// Timeout for connecting to a running back end. It is on the same machine, and every request whose
+/// connection broke waits for this check.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(50);
+/// Time for which a run without a response counts as one that a crash may have interrupted: longer than a
+/// back end takes to restart.
+const LOST_RUN_WINDOW: Duration = Duration::from_secs(10);
+/// Maximum number of runs without a response that are kept.
 const MAX_LOST: usize = 256;
 
 #[derive(Debug)]
 struct WatchedRun {
     id: Bytes,
     key: RequestKey,
-    /// Whether it holds a place for requests under suspicion.
-    has_place: bool,
+    /// Whether the run holds one of the places for suspect requests.
+    holds_place: bool,
     began_at: Instant,
-    /// When it ended without an answer; absent while one is awaited.
+    /// When the run ended without a response; `None` while it is running.
     lost_at: Option<Instant>,
 }
 
@@ -36,73 +39,74 @@
 struct State {
     /// Runs by their number.
     running: HashMap<u64, WatchedRun>,
-    begun: u64,
+    last_number: u64,
     lost: Vec<WatchedRun>,
-    has_ended: bool,
-    /// When the last question began whether the back end still takes connections.
-    asked_at: Option<Instant>,
+    is_crash_known: bool,
+    /// When the last connection check started.
+    checked_at: Option<Instant>,
 }
 
-/// The runs of one life of the back end.
+/// The runs of one back-end process.
 #[derive(Debug, Default)]
 pub(super) struct CrashWatch {
     state: Mutex<State>,
-    /// Held while the back end is asked.
-    asking: tokio::sync::Mutex<()>,
+    /// Held during a connection check, so that only one runs at a time.
+    check_lock: tokio::sync::Mutex<()>,
 }
 
-/// Whether a back end still lives of which a connection broke.
+/// State of a back end after a connection to it broke.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(super) enum LifeSign {
-    /// It takes connections, or that isn't clear.
-    Lives,
-    /// It has ended, which was known.
-    Ended,
-    /// It has ended, which was not known.
-    JustEnded(CrashReport),
+pub(super) enum Liveness {
+    /// It accepts connections, or the check was inconclusive.
+    Alive,
+    /// It has crashed, which was already known.
+    KnownCrash,
+    /// It has crashed, which this check detected.
+    NewCrash(CrashReport),
 }
 
-/// The end of one life of a back end.
+/// A crash of one back-end process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct CrashReport {
     pub(super) crash: CrashId,
-    /// What ran there.
+    /// Requests that were running there, or had lost their connection shortly before.
     pub(super) requests: BTreeSet<RequestKey>,
 }
 
 impl CrashWatch {
-    /// Takes in that the request called `id` is handed to the back end.
-    pub(super) fn begin(self: &Arc<Self>, id: Bytes, key: RequestKey, has_place: bool) -> RunWatch {
+    /// Registers that the request `id` is sent to the back end.
+    pub(super) fn begin(self: &Arc<Self>, id: Bytes, key: RequestKey, holds_place: bool) -> RunGuard {
         let mut state = self.state.lock();
-        state.begun += 1;
-        let number = state.begun;
-        let run = WatchedRun { id, key, has_place, began_at: Instant::now(), lost_at: None };
+        state.last_number += 1;
+        let number = state.last_number;
+        let run = WatchedRun { id, key, holds_place, began_at: Instant::now(), lost_at: None };
         state.running.insert(number, run);
-        RunWatch { watch: Arc::clone(self), number }
+        RunGuard { watch: Arc::clone(self), number }
     }
 
-    /// Whether the back end of this life is known to have ended.
-    pub(super) fn has_ended(&self) -> bool {
-        self.state.lock().has_ended
+    /// Whether this back-end process is known to have crashed.
+    pub(super) fn is_crash_known(&self) -> bool {
+        self.state.lock().is_crash_known
     }
 
-    /// What runs without a place for requests under suspicion.
+    /// Keys of the running requests that hold no place for suspect requests.
     pub(super) fn runs_without_place(&self) -> Vec<RequestKey> {
         let state = self.state.lock();
-        state.running.values().filter(|run| !run.has_place).map(|run| run.key).collect()
+        state.running.values().filter(|run| !run.holds_place).map(|run| run.key).collect()
     }
 
-    /// Takes in that the back end of this life, which was called `instance`, is no more without having said so. Absent if that was known.
-    pub(super) fn end(&self, instance: &str) -> Option<CrashReport> {
+    /// Records that this back-end process, identified by `instance`, ended without announcing its shutdown.
+    /// Returns `None` if that was already known.
+    pub(super) fn record_crash(&self, instance: &str) -> Option<CrashReport> {
         let now = Instant::now();
         let mut state = self.state.lock();
-        if std::mem::replace(&mut state.has_ended, true) {
+        if std::mem::replace(&mut state.is_crash_known, true) {
             return None;
         }
         let running: Vec<WatchedRun> = state.running.drain().map(|(_number, run)| run).collect();
         let lost = std::mem::take(&mut state.lost).into_iter();
         let is_recent = |run: &WatchedRun| {
-            run.lost_at.is_none_or(|lost_at| now.saturating_duration_since(lost_at) < LOST_TIME)
+            run.lost_at.is_none_or(|lost_at| now.saturating_duration_since(lost_at) < LOST_RUN_WINDOW)
         };
         let runs: Vec<WatchedRun> = running.into_iter().chain(lost).filter(is_recent).collect();
         Some(CrashReport {
@@ -111,33 +115,36 @@
         })
     }
 
-    /// Finds out whether the back end still lives, after a connection of `pool` to it broke. One of those that ask does; the others use what it has found.
-    pub(super) async fn find_life(&self, instance: &str, pool: &UpstreamPool) -> LifeSign {
+    /// Checks whether the back end still accepts connections, after a connection of `pool` broke. One of the
+    /// concurrent callers runs the check, and the others use its result.
+    pub(super) async fn check_liveness(&self, instance: &str, pool: &UpstreamPool) -> Liveness {
         let broke_at = Instant::now();
-        let _asking = self.asking.lock().await;
+        let _check_guard = self.check_lock.lock().await;
         {
             let mut state = self.state.lock();
-            if state.has_ended {
-                return LifeSign::Ended;
+            if state.is_crash_known {
+                return Liveness::KnownCrash;
             }
-            if state.asked_at >= Some(broke_at) {
-                return LifeSign::Lives;
+            if state.checked_at >= Some(broke_at) {
+                return Liveness::Alive;
             }
-            state.asked_at = Some(Instant::now());
+            state.checked_at = Some(Instant::now());
         }
-        match pool.contact(CONTACT_TIME).await {
-            Contact::Refused => self.end(instance).map_or(LifeSign::Ended, LifeSign::JustEnded),
-            Contact::Taken | Contact::Unclear => LifeSign::Lives,
+        match pool.check_connect(CONNECT_TIMEOUT).await {
+            ConnectCheck::Refused => {
+                self.record_crash(instance).map_or(Liveness::KnownCrash, Liveness::NewCrash)
+            }
+            ConnectCheck::Accepted | ConnectCheck::Inconclusive => Liveness::Alive,
         }
     }
 
-    /// Takes in that a run has ended; `is_answered` tells whether by an answer of the back end.
-    fn finish(&self, number: u64, is_answered: bool) {
+    /// Records the end of a run; `has_response` is whether the back end sent a response.
+    fn finish(&self, number: u64, has_response: bool) {
         let now = Instant::now();
         let mut state = self.state.lock();
         let Some(mut run) = state.running.remove(&number) else { return };
-        if is_answered {
-            // The back end has lived on after whatever was lost before.
+        if has_response {
+            // The response shows that the back end survived every run that was lost before this one started.
             state.lost.retain(|lost| lost.lost_at > Some(run.began_at));
             return;
         }
@@ -149,26 +156,26 @@
     }
 }
 
-/// A run that is watched. If nothing else is told of it, it has no answer when this is dropped.
+/// A registered run. Dropping it records that the run ended without a response.
 #[derive(Debug)]
-pub(super) struct RunWatch {
+pub(super) struct RunGuard {
     watch: Arc<CrashWatch>,
     number: u64,
 }
 
-impl RunWatch {
-    /// Takes in that the back end has answered, or has said that it did not run the request.
-    pub(super) fn answered(self) {
+impl RunGuard {
+    /// Records that the back end sent a response, or reported that it did not run the request.
+    pub(super) fn on_response(self) {
         self.watch.finish(self.number, true);
     }
 
-    /// Takes in that nothing of the request has reached the back end.
+    /// Removes the run, because no part of the request reached the back end.
     pub(super) fn not_sent(self) {
         self.watch.state.lock().running.remove(&self.number);
     }
 }
 
-impl Drop for RunWatch {
+impl Drop for RunGuard {
     fn drop(&mut self) {
         self.watch.finish(self.number, false);
     }
--- a/crates/forwarding/src/inbound/mod.rs
+++ b/crates/forwarding/src/inbound/mod.rs
@@ -1,12 +1,13 @@
-//! The half beside the back end: admits, queues and hands over requests. It is the only way to the back end.
+//! The inbound side, on the node of the back end: admits, queues and forwards requests. Every request to the
+//! back end passes through it.
 
 mod admission;
 mod back_end;
-mod body_link;
 mod crash_watch;
 mod serving;
-mod suspect_lane;
+mod suspect_limiter;
 mod tenant_shares;
+mod transfer_scheduler;
 
 pub(crate) use admission::Permit;
 pub use back_end::{BackEnd, Inbound, InboundSettings};
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -1,4 +1,4 @@
-//! How a request gets to the back end.
+//! Serving of a request: checks, admission, and the exchange with the back end.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -13,109 +13,111 @@
 
 use super::admission::Permit;
 use super::back_end::{BackEnd, Inbound, millis};
-use super::crash_watch::{CrashWatch, LifeSign};
-use super::suspect_lane::SuspectPlace;
+use super::crash_watch::{CrashWatch, Liveness};
+use super::suspect_limiter::SuspectPlace;
 use crate::clock::now;
 use crate::message::{Attempt, AttemptResult, NotRun, RequestBody, Response, ResponseBody, id_text};
 use crate::outcome::{NotRunReason, UnknownReason};
 use crate::suspended_time::SuspendAwareInstant;
 use crate::upstream::{ExchangeEnd, ExchangeRequest, Exchanger, MISDIRECTED, UpstreamPool};
 
-/// Lowest status of an answer that is a failure of the back end.
-const FIRST_FAILURE: u16 = 500;
+/// Lowest response status that counts as a failure of the back end.
+const FIRST_FAILURE_STATUS: u16 = 500;
 
-/// Where a request goes.
+/// The back end that a request is sent to.
 struct Target {
     back_end: BackEnd,
     pool: Arc<UpstreamPool>,
     watch: Arc<CrashWatch>,
 }
 
-/// What a request holds that may be handed to the back end.
-struct Turn {
+/// Resources that an admitted request holds.
+struct Grant {
     permit: Permit,
     place: Option<SuspectPlace>,
-    /// Time that it has waited.
+    /// Time that the request waited for admission.
     waited: Duration,
 }
 
-/// Why a request is not handed to the back end.
-enum Barred {
+/// Why a request is not sent to the back end.
+enum Rejection {
     NotRun(NotRun),
-    /// It was admitted before.
+    /// The request was admitted before.
     Unknown(UnknownReason),
 }
 
-impl From<NotRun> for Barred {
+impl From<NotRun> for Rejection {
     fn from(not_run: NotRun) -> Self {
         Self::NotRun(not_run)
     }
 }
 
-impl From<UnknownReason> for Barred {
+impl From<UnknownReason> for Rejection {
     fn from(reason: UnknownReason) -> Self {
         Self::Unknown(reason)
     }
 }
 
 impl Inbound {
-    /// Serves one attempt. Dropping the future gives it up, also at the back end.
+    /// Serves one attempt. Dropping the future cancels it, also at the back end.
     pub(crate) async fn serve(&self, mut attempt: Attempt) -> AttemptResult {
         let target = match self.target(&attempt) {
             Ok(target) => target,
-            Err(reason) => return self.refused(&attempt, NotRun::before_back_end(reason)),
+            Err(reason) => return self.report_refused(&attempt, NotRun::before_back_end(reason)),
         };
-        let turn = match self.wait_for_turn(&mut attempt, &target).await {
-            Ok(turn) => turn,
-            Err(Barred::NotRun(not_run)) => return self.refused(&attempt, not_run),
-            Err(Barred::Unknown(reason)) => return AttemptResult::Unknown(reason),
+        let grant = match self.wait_for_grant(&mut attempt, &target).await {
+            Ok(grant) => grant,
+            Err(Rejection::NotRun(not_run)) => return self.report_refused(&attempt, not_run),
+            Err(Rejection::Unknown(reason)) => return AttemptResult::Unknown(reason),
         };
-        let result = self.hand_over(attempt, &target, turn).await;
-        // A request under suspicion may wait for the end of this run.
+        let result = self.forward(attempt, &target, grant).await;
+        // A suspect request may be waiting for this run to end.
         self.quarantine.moved().notify_waiters();
         result
     }
 
-    /// Waits until the request may be handed to the back end.
-    async fn wait_for_turn(&self, attempt: &mut Attempt, target: &Target) -> Result<Turn, Barred> {
+    /// Waits until the request may be sent to the back end.
+    async fn wait_for_grant(&self, attempt: &mut Attempt, target: &Target) -> Result<Grant, Rejection> {
         self.check_calls(attempt)?;
-        self.check_room_for_calls(attempt)?;
+        self.check_call_capacity(attempt)?;
         let arrived = SuspendAwareInstant::new(Instant::now(), &self.suspended);
         let waits_until = attempt.queue_deadline.min(attempt.deadline);
         let slots = target.back_end.slots;
-        let place = self.suspect_lane.enter(&target.watch, &attempt.request_key, slots, waits_until).await?;
-        self.admit_once(attempt)?;
-        let turn = self.wait_for_slot(attempt, target, place, &arrived).await;
-        turn.map_err(|not_run| {
-            self.withdraw(attempt);
-            Barred::NotRun(not_run)
+        let place =
+            self.suspect_limiter.acquire(&target.watch, &attempt.request_key, slots, waits_until).await?;
+        self.register_once(attempt)?;
+        let grant = self.wait_for_slot(attempt, target, place, &arrived).await;
+        grant.map_err(|not_run| {
+            self.unregister(attempt);
+            Rejection::NotRun(not_run)
         })
     }
 
-    /// Waits for a slot, and looks whether what was found before still holds.
+    /// Waits for a slot, and then repeats the checks whose result may have changed in the meantime.
     async fn wait_for_slot(
         &self,
         attempt: &mut Attempt,
         target: &Target,
         place: Option<SuspectPlace>,
         arrived: &SuspendAwareInstant,
-    ) -> Result<Turn, NotRun> {
+    ) -> Result<Grant, NotRun> {
         let admitted = self.admit(attempt).await;
         let permit = admitted.map_err(|refusal| {
-            self.tell_over_share(attempt, refusal);
-            not_admitted(refusal)
+            self.report_over_share(attempt, refusal);
+            refusal_to_not_run(refusal)
         })?;
         if self.is_evacuated.load(Ordering::Relaxed) {
             return Err(NotRun::before_back_end(NotRunReason::Evacuated));
         }
         count_suspension(attempt, arrived)?;
-        // Others may have begun while this one waited.
+        // Other retried runs may have started while this one waited.
         self.check_calls(attempt)?;
         let place = self.check_place(attempt, target, place)?;
-        Ok(Turn { permit, place, waited: arrived.elapsed() })
+        Ok(Grant { permit, place, waited: arrived.elapsed() })
     }
 
-    /// The place for requests under suspicion, if the request needs one now: it may have come under suspicion while it waited, or the suspicion may have become certain.
+    /// Returns the place for suspect requests, if the request needs one now: it may have become suspect while
+    /// it waited, or it may now be certain to be the cause of crashes.
     fn check_place(
         &self,
         attempt: &Attempt,
@@ -126,10 +128,11 @@
         if place.is_some() && self.quarantine.standing(key) <= SuspicionLevel::Isolated {
             return Ok(place);
         }
-        self.suspect_lane.try_enter(&target.watch, key, target.back_end.slots)
+        self.suspect_limiter.try_acquire(&target.watch, key, target.back_end.slots)
     }
 
-    /// Refuses a repeated run whose calls are not paid for. Without them it would fail, and hold a slot until then.
+    /// Rejects a retried run if the retry budget does not cover its calls. Without them the run would fail,
+    /// and hold a slot until then.
     fn check_calls(&self, attempt: &Attempt) -> Result<(), NotRun> {
         if !attempt.is_repeat {
             return Ok(());
@@ -141,8 +144,8 @@
         Err(NotRun::before_back_end(NotRunReason::RetryBudget))
     }
 
-    /// Refuses a run that would fail for want of its calls, while others want its slot.
-    fn check_room_for_calls(&self, attempt: &Attempt) -> Result<(), NotRun> {
+    /// Rejects a run that would fail for lack of its calls, while other requests need its slot.
+    fn check_call_capacity(&self, attempt: &Attempt) -> Result<(), NotRun> {
         let Some(ledger) = self.ledger.get() else { return Ok(()) };
         let calls = ledger.expected_calls(attempt.route);
         if calls.is_empty() || !self.admission.is_slot_wanted() {
@@ -166,8 +169,8 @@
         Err(NotRun { retry_after: Some(refusal.come_back), ..not_run })
     }
 
-    /// Waits for a slot; a request whose body comes over the link waits for its turn there first, so that it holds no
-    /// slot meanwhile.
+    /// Waits for a slot. A request whose body arrives over the link waits for the transfer to be admitted
+    /// first, so that it holds no slot in the meantime.
     async fn admit(&self, attempt: &mut Attempt) -> Result<Permit, Refusal> {
         let pending = match &attempt.body {
             RequestBody::Pending(pending) if pending.is_from_node() => Some(pending.clone()),
@@ -175,21 +178,21 @@
         };
         if let Some(pending) = pending {
             let began = Instant::now();
-            let turn = self.link.turn(work_item(attempt), pending.length()).await?;
+            let transfer = self.transfers.admit_transfer(work_item(attempt), pending.length()).await?;
             attempt.max_queue_wait = attempt.max_queue_wait.saturating_sub(began.elapsed());
-            if let Some(turn) = turn {
-                pending.hold_permit(turn);
+            if let Some(transfer) = transfer {
+                pending.hold_permit(transfer);
             }
         }
         let item = work_item(attempt);
         let admitted = self.admission.admit(item).await;
         if let Err(Refusal::BackEndSlow { expected }) = admitted {
-            self.tell_slowed(attempt, expected);
+            self.report_slow_back_end(attempt, expected);
         }
         admitted
     }
 
-    fn tell_slowed(&self, attempt: &Attempt, expected: Duration) {
+    fn report_slow_back_end(&self, attempt: &Attempt, expected: Duration) {
         let left = attempt.objective_at.saturating_duration_since(Instant::now());
         self.telemetry.emit(Event::SlowBackEndAvoided {
             request: id_text(&attempt.id),
@@ -201,15 +204,19 @@
         });
     }
 
-    /// Takes in that a request is admitted that must not run twice.
-    fn admit_once(&self, attempt: &Attempt) -> Result<(), UnknownReason> {
+    /// Registers a request that must not run twice. Fails if it was registered before.
+    fn register_once(&self, attempt: &Attempt) -> Result<(), UnknownReason> {
         if attempt.is_idempotent {
             return Ok(());
         }
         let mut duplicates = self.duplicates.lock();
         let found = if !duplicates.admit(now(), &attempt.id) {
             Some(UnknownReason::Duplicate)
-        } else if attempt.key.as_ref().is_some_and(|key| !duplicates.admit(now(), &own_key(key, attempt))) {
+        } else if attempt
+            .key
+            .as_ref()
+            .is_some_and(|key| !duplicates.admit(now(), &duplicate_key(key, attempt)))
+        {
             Some(UnknownReason::RepeatedKey)
         } else {
             None
@@ -220,16 +227,16 @@
         Err(reason)
     }
 
-    /// Takes in that an admitted request is known not to have run.
-    fn withdraw(&self, attempt: &Attempt) {
+    /// Removes a request that is known not to have run from the registered ones.
+    fn unregister(&self, attempt: &Attempt) {
         let mut duplicates = self.duplicates.lock();
         duplicates.withdraw(&attempt.id);
         if let Some(key) = &attempt.key {
-            duplicates.withdraw(&own_key(key, attempt));
+            duplicates.withdraw(&duplicate_key(key, attempt));
         }
     }
 
-    /// Whether the tenant is known here, and the request may be served where this node runs.
+    /// Checks that the tenant is known here and that the request may be served in this node's region.
     fn check_access(&self, attempt: &Attempt) -> Result<(), NotRunReason> {
         let access = self.access.load();
         let Some(access) = access.as_deref() else { return Ok(()) };
@@ -262,11 +269,11 @@
         })
     }
 
-    async fn hand_over(&self, mut attempt: Attempt, target: &Target, turn: Turn) -> AttemptResult {
-        let Turn { mut permit, place, waited } = turn;
+    async fn forward(&self, mut attempt: Attempt, target: &Target, grant: Grant) -> AttemptResult {
+        let Grant { mut permit, place, waited } = grant;
         let Target { back_end, pool, watch } = target;
         let body = std::mem::replace(&mut attempt.body, RequestBody::Consumed);
-        let fields = self.fields_for(&attempt, back_end);
+        let fields = self.request_fields(&attempt, back_end);
         let request = ExchangeRequest {
             id: &attempt.id,
             method: &attempt.method,
@@ -274,17 +281,17 @@
             fields: &fields,
             deadline: attempt.deadline,
         };
-        let exchanger = Exchanger { pool, header_profile: &self.header_profile, loads: self };
+        let exchanger = Exchanger { pool, header_profile: &self.header_profile, load_listener: self };
         let run = self.runs.begin(&attempt);
         let key = attempt.request_key;
-        let watched = watch.begin(attempt.id.clone(), key, place.is_some());
+        let run_watch = watch.begin(attempt.id.clone(), key, place.is_some());
         match exchanger.run(&request, body).await {
             ExchangeEnd::Answered { status, mut fields, body } => {
                 let calls = run.end();
                 self.calls.on_run_ended(attempt.route, !calls.is_empty());
-                watched.answered();
-                // A run may fail before it comes to what ends the back end.
-                if status < FIRST_FAILURE {
+                run_watch.on_response();
+                // A failed run may have ended before the step that crashes the back end.
+                if status < FIRST_FAILURE_STATUS {
                     self.quarantine.on_answered(&key);
                 }
                 if let Some(ledger) = self.ledger.get() {
@@ -294,39 +301,40 @@
                 permit.on_answered();
                 self.admission.record_response(true);
                 let back_end_time = permit.elapsed();
-                self.answers.lock().record(attempt.route, status < FIRST_FAILURE, back_end_time);
-                let body = holding(body, permit);
+                self.answers.lock().record(attempt.route, status < FIRST_FAILURE_STATUS, back_end_time);
+                let body = attach_permit(body, permit);
                 let load = self.load();
                 AttemptResult::Answered(Response { status, fields, body, back_end_time, waited, load })
             }
             ExchangeEnd::NotSent(reason) => {
                 run.end();
-                watched.not_sent();
+                run_watch.not_sent();
                 drop(permit);
-                self.withdraw(&attempt);
+                self.unregister(&attempt);
                 if reason == NotRunReason::BackEndUnreachable {
-                    self.find_crash(target).await;
+                    self.check_crash(target).await;
                     pool.clear();
-                    self.tell_unreachable(&back_end.life);
+                    self.report_unreachable(&back_end.life);
                 }
-                self.refused(&attempt, NotRun::before_back_end(reason))
+                self.report_refused(&attempt, NotRun::before_back_end(reason))
             }
             ExchangeEnd::Rejected { status } => {
                 run.end();
-                watched.answered();
-                self.withdraw(&attempt);
+                run_watch.on_response();
+                self.unregister(&attempt);
                 let reason = self.rejection_reason(status);
-                // Where slots are free a rejection is no load, so the slot is given back before the load is told.
+                // A rejection while slots are free is not caused by load, so the slot is freed before the
+                // load is reported. If the back end is full, the slot is held until the load is reported.
                 let full_slot = (reason == NotRunReason::BackEndFull).then_some(permit);
                 let not_run = NotRun { reached_back_end: true, ..NotRun::before_back_end(reason) };
-                let result = self.refused(&attempt, not_run);
+                let result = self.report_refused(&attempt, not_run);
                 drop(full_slot);
                 result
             }
             ExchangeEnd::Unknown(reason) => {
                 self.admission.record_response(false);
-                drop(watched);
-                let has_crashed = reason.is_broken_connection() && self.find_crash(target).await;
+                drop(run_watch);
+                let has_crashed = reason.is_broken_connection() && self.check_crash(target).await;
                 let reason = if has_crashed { UnknownReason::BackEndCrashed } else { reason };
                 self.telemetry.emit(Event::ExchangeLost {
                     request: id_text(&attempt.id),
@@ -340,7 +348,8 @@
         }
     }
 
-    /// Why the back end turned a request away with `status`, while the request still counts as running.
+    /// Why the back end rejected a request with `status`. To be called while the request still counts as
+    /// running.
     fn rejection_reason(&self, status: u16) -> NotRunReason {
         if status == MISDIRECTED {
             return NotRunReason::WrongInstance;
@@ -349,31 +358,32 @@
         if load.running >= load.slots { NotRunReason::BackEndFull } else { NotRunReason::BackEndRejected }
     }
 
-    /// Finds out whether the back end has ended after a connection to it broke or could not be opened. One that has said that it leaves may end.
-    async fn find_crash(&self, target: &Target) -> bool {
+    /// Checks whether the back end crashed, after a connection to it broke or could not be opened. The end of
+    /// a back end that has announced its shutdown is not a crash.
+    async fn check_crash(&self, target: &Target) -> bool {
         let Target { back_end, pool, watch } = target;
-        if !watch.has_ended() && !self.takes_work(target) {
+        if !watch.is_crash_known() && !self.accepts_requests(target) {
             return false;
         }
-        match watch.find_life(&back_end.life.instance, pool).await {
-            LifeSign::Lives => false,
-            LifeSign::Ended => true,
-            LifeSign::JustEnded(report) => {
+        match watch.check_liveness(&back_end.life.instance, pool).await {
+            Liveness::Alive => false,
+            Liveness::KnownCrash => true,
+            Liveness::NewCrash(report) => {
                 self.on_crash(back_end, "refused", &report);
                 pool.clear();
-                self.tell_unreachable(&back_end.life);
+                self.report_unreachable(&back_end.life);
                 true
             }
         }
     }
 
-    /// Whether the life that `target` means is the present one and takes new work.
-    fn takes_work(&self, target: &Target) -> bool {
+    /// Whether the process in `target` is the current one and accepts new requests.
+    fn accepts_requests(&self, target: &Target) -> bool {
         let current = self.current.lock();
         current.as_ref().is_some_and(|current| current.is_open && Arc::ptr_eq(&current.watch, &target.watch))
     }
 
-    fn refused(&self, attempt: &Attempt, not_run: NotRun) -> AttemptResult {
+    fn report_refused(&self, attempt: &Attempt, not_run: NotRun) -> AttemptResult {
         let load = self.load();
         self.telemetry.emit(Event::AdmissionRefused {
             request: id_text(&attempt.id),
@@ -387,11 +397,11 @@
         AttemptResult::NotRun(NotRun { load: Some(load), ..not_run })
     }
 
-    fn fields_for(&self, attempt: &Attempt, back_end: &BackEnd) -> Fields {
+    fn request_fields(&self, attempt: &Attempt, back_end: &BackEnd) -> Fields {
         let mut fields = attempt.fields.clone();
         let left = attempt.deadline.saturating_duration_since(Instant::now());
         fields.set(self.header_profile.request_id, attempt.id.clone());
-        fields.set(self.header_profile.deadline_millis, number(millis(left)));
+        fields.set(self.header_profile.deadline_millis, decimal(millis(left)));
         fields.set(self.header_profile.expected_instance, back_end.life.instance.clone().into_bytes());
         fields.remove(self.header_profile.tenant_key);
         match &attempt.tenant {
@@ -405,7 +415,7 @@
     }
 }
 
-fn number(value: u64) -> Bytes {
+fn decimal(value: u64) -> Bytes {
     Bytes::copy_from_slice(itoa::Buffer::new().format(value).as_bytes())
 }
 
@@ -414,8 +424,9 @@
     (share * 100.0).round() as u64
 }
 
-/// The caller's key in the window of duplicates: another method or path is another request, another query is not.
-fn own_key(key: &[u8], attempt: &Attempt) -> Vec<u8> {
+/// The caller's idempotency key as it is registered in the duplicate window. With another method or path the
+/// same key means another request; another query makes no difference.
+fn duplicate_key(key: &[u8], attempt: &Attempt) -> Vec<u8> {
     let path = attempt.target.split(|byte| *byte == b'?').next().unwrap_or_default();
     [b"key", key, &attempt.method, path].join(&b' ')
 }
@@ -434,7 +445,7 @@
     }
 }
 
-fn not_admitted(refusal: Refusal) -> NotRun {
+fn refusal_to_not_run(refusal: Refusal) -> NotRun {
     match refusal {
         Refusal::Closed => NotRun::before_back_end(NotRunReason::Draining),
         Refusal::Expired => NotRun::before_back_end(NotRunReason::DeadlineBeforeRun),
@@ -447,7 +458,7 @@
     }
 }
 
-/// Counts what the machine was suspended since `arrived` as time that has passed for the request.
+/// Counts the time for which the machine was suspended since `arrived` as elapsed time of the request.
 fn count_suspension(attempt: &mut Attempt, arrived: &SuspendAwareInstant) -> Result<(), NotRun> {
     let suspended = arrived.suspended_since();
     if suspended.is_zero() {
@@ -460,8 +471,8 @@
     Ok(())
 }
 
-/// The body, holding the slot as long as it still comes from the back end.
-fn holding(mut body: ResponseBody, permit: Permit) -> ResponseBody {
+/// Attaches the slot to the body, which holds it until the body has arrived from the back end.
+fn attach_permit(mut body: ResponseBody, permit: Permit) -> ResponseBody {
     if let ResponseBody::Upstream(upstream) = &mut body {
         upstream.hold(permit);
     }
--- a/crates/forwarding/src/inbound/suspect_lane.rs
+++ b/crates/forwarding/src/inbound/suspect_limiter.rs
@@ -1,4 +1,5 @@
-//! Lets requests under suspicion run beside few others of them, so that an end of the back end tells which it was.
+//! Limits how many suspect requests run at the same time, so that a crash of the back end shows which of them
+//! caused it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -12,34 +13,36 @@
 use crate::outcome::NotRunReason;
 use crate::quarantine::Quarantine;
 
-/// Of so many slots one is for a request that was at one end of a back end. All but one of those are innocent: with one place in all, 38 attempts were refused in a minute in which
-/// five back ends of 18 slots ended for another reason.
-const SLOTS_A_PLACE: u32 = 4;
+/// Number of slots per place for requests that were running at one crash. All but one of those requests are
+/// innocent: with one place in total, 38 attempts were rejected in a minute in which five back ends of 18
+/// slots crashed for another reason.
+const SLOTS_PER_PLACE: u32 = 4;
 
 #[derive(Debug, Default)]
 struct State {
-    given: u64,
-    /// Requests that hold a place, by its number.
+    last_number: u64,
+    /// Requests that hold a place, by the number of the place.
     held: BTreeMap<u64, RequestKey>,
 }
 
-/// The places for requests under suspicion.
+/// The places in which suspect requests run.
 #[derive(Debug)]
-pub(super) struct SuspectLane {
+pub(super) struct SuspectLimiter {
     quarantine: Arc<Quarantine>,
     state: Mutex<State>,
 }
 
-impl SuspectLane {
+impl SuspectLimiter {
     pub(super) fn new(quarantine: Arc<Quarantine>) -> Arc<Self> {
         Arc::new(Self { quarantine, state: Mutex::default() })
     }
 
-    /// Waits until `until` for a place if the request is under suspicion; absent if it is not. The back end has `slots`.
+    /// Waits until `until` for a place if the request is suspect; returns `None` if it is not. `slots` is the
+    /// number of slots of the back end.
     ///
     /// # Errors
-    /// Tells why the request is refused.
-    pub(super) async fn enter(
+    /// Returns the reason for the rejection of the request.
+    pub(super) async fn acquire(
         self: &Arc<Self>,
         watch: &CrashWatch,
         key: &RequestKey,
@@ -49,9 +52,9 @@
         loop {
             let moved = self.quarantine.moved().notified();
             tokio::pin!(moved);
-            // From here on no change is missed.
+            // Registers for notifications before the check, so that no change is missed.
             moved.as_mut().enable();
-            match self.try_enter(watch, key, slots) {
+            match self.try_acquire(watch, key, slots) {
                 Err(NotRun { reason: NotRunReason::SuspectBusy, .. }) => {}
                 other => return other,
             }
@@ -61,11 +64,11 @@
         }
     }
 
-    /// The same at once.
+    /// As [`Self::acquire`], without waiting.
     ///
     /// # Errors
-    /// Tells why the request is refused.
-    pub(super) fn try_enter(
+    /// Returns the reason for the rejection of the request.
+    pub(super) fn try_acquire(
         self: &Arc<Self>,
         watch: &CrashWatch,
         key: &RequestKey,
@@ -73,7 +76,7 @@
     ) -> Result<Option<SuspectPlace>, NotRun> {
         let places = match self.quarantine.standing(key) {
             SuspicionLevel::Clear => return Ok(None),
-            SuspicionLevel::Suspected => (slots / SLOTS_A_PLACE).max(1) as usize,
+            SuspicionLevel::Suspected => (slots / SLOTS_PER_PLACE).max(1) as usize,
             SuspicionLevel::Isolated => 1,
             SuspicionLevel::Paused(left) => {
                 let not_run = NotRun::before_back_end(NotRunReason::SuspectPaused);
@@ -81,39 +84,43 @@
             }
             SuspicionLevel::Quarantined => return Err(NotRun::before_back_end(NotRunReason::Quarantined)),
         };
-        let place = self.take(watch, key, places);
+        let place = self.take_place(watch, key, places);
         place.map(Some).ok_or(NotRun::before_back_end(NotRunReason::SuspectBusy))
     }
 
-    /// Takes a place if fewer than `places` are taken, and none by one that has to be alone.
-    fn take(self: &Arc<Self>, watch: &CrashWatch, key: &RequestKey, places: usize) -> Option<SuspectPlace> {
+    /// Takes a place if fewer than `places` are taken, and none of them by a request that must run alone.
+    fn take_place(
+        self: &Arc<Self>,
+        watch: &CrashWatch,
+        key: &RequestKey,
+        places: usize,
+    ) -> Option<SuspectPlace> {
         let mut state = self.state.lock();
-        // What began before it came under suspicion counts too.
+        // Running requests that became suspect after they started count too.
         let runs = watch.runs_without_place().into_iter();
         let others = state.held.values().copied().chain(runs);
-        let standings = others.map(|other| self.quarantine.standing(&other));
-        let suspects: Vec<SuspicionLevel> =
-            standings.filter(|standing| *standing != SuspicionLevel::Clear).collect();
-        if suspects.len() >= places || suspects.iter().any(|standing| *standing > SuspicionLevel::Suspected) {
+        let levels = others.map(|other| self.quarantine.standing(&other));
+        let suspects: Vec<SuspicionLevel> = levels.filter(|level| *level != SuspicionLevel::Clear).collect();
+        if suspects.len() >= places || suspects.iter().any(|level| *level > SuspicionLevel::Suspected) {
             return None;
         }
-        state.given += 1;
-        let number = state.given;
+        state.last_number += 1;
+        let number = state.last_number;
         state.held.insert(number, *key);
-        Some(SuspectPlace { lane: Arc::clone(self), number })
+        Some(SuspectPlace { limiter: Arc::clone(self), number })
     }
 }
 
-/// A place for a request under suspicion, held until this is dropped.
+/// A place for a suspect request, freed on drop.
 #[derive(Debug)]
 pub(super) struct SuspectPlace {
-    lane: Arc<SuspectLane>,
+    limiter: Arc<SuspectLimiter>,
     number: u64,
 }
 
 impl Drop for SuspectPlace {
     fn drop(&mut self) {
-        self.lane.state.lock().held.remove(&self.number);
-        self.lane.quarantine.moved().notify_waiters();
+        self.limiter.state.lock().held.remove(&self.number);
+        self.limiter.quarantine.moved().notify_waiters();
     }
 }
--- a/crates/forwarding/src/inbound/tenant_shares.rs
+++ b/crates/forwarding/src/inbound/tenant_shares.rs
@@ -1,4 +1,4 @@
-//! What operators are told about the shares of tenants.
+//! Reports on the tenants' shares of the slots, in logs and metrics.
 
 use std::time::Duration;
 
@@ -10,33 +10,34 @@
 use super::back_end::{Inbound, millis};
 use crate::message::{Attempt, id_text};
 
-/// Tenants that are told one by one; the others are told together.
-const GREATEST_TENANTS: usize = 3;
-/// Shortest time between two lines about how tenants share the slots.
-const LINE_INTERVAL: Duration = Duration::from_secs(10);
+/// Number of tenants that are reported individually; the others are reported together.
+const TOP_TENANT_COUNT: usize = 3;
+/// Minimum time between two log events about the tenants' shares.
+const EVENT_INTERVAL: Duration = Duration::from_secs(10);
 
 impl Inbound {
-    /// Tells operators how tenants share the slots, if any had to wait of late.
+    /// Exports the tenants' slot use as metrics, and logs it periodically while several tenants share the
+    /// slots.
     pub fn report_tenant_shares(&self) {
-        let standings = self.admission.standings(GREATEST_TENANTS);
-        let uses: Vec<u16> = standings.greatest.iter().map(|standing| standing.use_permille).collect();
-        self.telemetry.metrics().set_tenant_uses(standings.count, &uses);
-        if standings.count > 1 && self.is_share_line_due() {
+        let usages = self.admission.usages(TOP_TENANT_COUNT);
+        let uses: Vec<u16> = usages.greatest.iter().map(|usage| usage.use_permille).collect();
+        self.telemetry.metrics().set_tenant_uses(usages.count, &uses);
+        if usages.count > 1 && self.is_share_event_due() {
             self.telemetry.emit(Event::SlotsShared {
-                tenants: standings.count as u64,
-                share_permille: standings.greatest.first().map_or(0, |standing| standing.share_permille),
-                greatest: self.describe(&standings.greatest),
+                tenants: usages.count as u64,
+                share_permille: usages.greatest.first().map_or(0, |usage| usage.share_permille),
+                greatest: self.describe(&usages.greatest),
             });
         }
     }
 
-    /// Tells operators that a request was refused whose tenant is above its share.
-    pub(super) fn tell_over_share(&self, attempt: &Attempt, refusal: Refusal) {
+    /// Reports a rejected request of a tenant that exceeds its share.
+    pub(super) fn report_over_share(&self, attempt: &Attempt, refusal: Refusal) {
         let Some(tenant) = &attempt.tenant else { return };
         let Some(reason) = over_share_reason(refusal) else { return };
-        let standing = self.admission.standing(TenantId::of(tenant));
+        let usage = self.admission.usage(TenantId::of(tenant));
         let is_displaced = matches!(refusal, Refusal::OverShare { .. });
-        let Some(standing) = standing.filter(|standing| is_displaced || standing.is_over_share) else {
+        let Some(usage) = usage.filter(|usage| is_displaced || usage.is_over_share) else {
             return;
         };
         self.telemetry.metrics().over_share(reason);
@@ -44,26 +45,26 @@
             request: id_text(&attempt.id),
             tenant: tenant.to_string(),
             reason,
-            use_permille: standing.use_permille,
-            share_permille: standing.share_permille,
-            ahead_millis: millis(standing.ahead),
+            use_permille: usage.use_permille,
+            share_permille: usage.share_permille,
+            ahead_millis: millis(usage.ahead),
         });
     }
 
-    fn is_share_line_due(&self) -> bool {
-        let mut told_at = self.shares_told_at.lock();
-        let is_due = told_at.is_none_or(|at| at.elapsed() >= LINE_INTERVAL);
+    fn is_share_event_due(&self) -> bool {
+        let mut logged_at = self.shares_logged_at.lock();
+        let is_due = logged_at.is_none_or(|at| at.elapsed() >= EVENT_INTERVAL);
         if is_due {
-            *told_at = Some(Instant::now());
+            *logged_at = Some(Instant::now());
         }
         is_due
     }
 
-    /// The tenants with their use in thousandths, by name where the configuration in force has them.
-    fn describe(&self, standings: &[TenantUsage]) -> String {
-        let described = standings
-            .iter()
-            .map(|standing| format!("{}={}", self.tenant_name(standing.tenant), standing.use_permille));
+    /// Formats the tenants with their use in thousandths. Tenants without an entry in the active
+    /// configuration appear by number.
+    fn describe(&self, usages: &[TenantUsage]) -> String {
+        let described =
+            usages.iter().map(|usage| format!("{}={}", self.tenant_name(usage.tenant), usage.use_permille));
         described.collect::<Vec<String>>().join(",")
     }
 
@@ -75,7 +76,7 @@
     }
 }
 
-/// What a refusal for want of room is called in logs and metrics.
+/// Name of a rejection for lack of capacity in logs and metrics.
 const fn over_share_reason(refusal: Refusal) -> Option<&'static str> {
     match refusal {
         Refusal::OverShare { .. } => Some("displaced"),
--- a/crates/forwarding/src/upstream/body.rs
+++ b/crates/forwarding/src/upstream/body.rs
@@ -1,4 +1,4 @@
-//! A long body that is passed on while it arrives from the back end.
+//! A long response body that is forwarded while it arrives from the back end.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::inbound::Permit;
 use crate::message::ResponseBodyError;
 
-/// The rest of an answer's body, and the slot of its request.
+/// Remainder of a response body, with the slot of its request.
 #[derive(Debug)]
 pub struct UpstreamBody {
     pub(super) first: Option<Bytes>,
--- a/crates/forwarding/src/upstream/connection.rs
+++ b/crates/forwarding/src/upstream/connection.rs
@@ -9,12 +9,13 @@
 use umberpond_http1::{Fields, MessageReader};
 use umberpond_net::BoxStream;
 
-/// How long a connection is kept for reuse if the back end doesn't say.
+/// How long a connection is kept for reuse if the back end does not specify it.
 const DEFAULT_KEEP_ALIVE: Duration = Duration::from_secs(4);
-/// A connection is given up this long before the back end closes it, so that no request crosses the close.
+/// A connection is discarded this long before the back end closes it, so that no request races with the
+/// close.
 const KEEP_ALIVE_MARGIN: Duration = Duration::from_millis(1_000);
 
-/// A connection on which at most one exchange is open.
+/// A connection that carries at most one exchange at a time.
 pub(crate) struct UpstreamConnection {
     pub(crate) reader: MessageReader<ReadHalf<BoxStream>>,
     pub(crate) writer: WriteHalf<BoxStream>,
@@ -27,8 +28,8 @@
         Self { reader: MessageReader::new(reader), writer, usable_until: Instant::now() + DEFAULT_KEEP_ALIVE }
     }
 
-    /// Whether another request may be sent: nothing has arrived unasked, and the back end has not closed and is not
-    /// about to.
+    /// Whether another request may be sent: no unsolicited data has arrived, and the back end has neither
+    /// closed the connection nor is about to close it.
     pub(crate) fn is_usable(&mut self) -> bool {
         if self.usable_until <= Instant::now() {
             return false;
@@ -37,26 +38,27 @@
         !is_closed && self.reader.is_empty()
     }
 
-    /// Takes in what an answer says of the connection's life; `false` if it ends with this answer.
-    pub(crate) fn stays_open(&mut self, fields: &Fields) -> bool {
+    /// Updates the expiry of the connection from a response; returns `false` if the connection ends with this
+    /// response.
+    pub(crate) fn update_keep_alive(&mut self, fields: &Fields) -> bool {
         if fields.lists("connection", "close") {
             return false;
         }
-        let keep_alive = told_keep_alive(fields).unwrap_or(DEFAULT_KEEP_ALIVE);
+        let keep_alive = parse_keep_alive(fields).unwrap_or(DEFAULT_KEEP_ALIVE);
         self.usable_until = Instant::now() + keep_alive.saturating_sub(KEEP_ALIVE_MARGIN);
         true
     }
 
-    /// Writes all of `bytes`; tells whether any byte was accepted by the transport before it failed.
+    /// Writes all of `bytes`. A failure reports whether the transport had accepted any byte.
     pub(crate) async fn write(&mut self, mut bytes: &[u8]) -> Result<(), WriteFailure> {
-        let mut is_begun = false;
+        let mut has_written = false;
         while !bytes.is_empty() {
             let written = match self.writer.write(bytes).await {
                 Ok(0) => Err(io::ErrorKind::WriteZero.into()),
                 other => other,
             };
-            let count = written.map_err(|_broken: io::Error| WriteFailure { is_begun })?;
-            is_begun = true;
+            let count = written.map_err(|_broken: io::Error| WriteFailure { has_written })?;
+            has_written = true;
             bytes = &bytes[count..];
         }
         Ok(())
@@ -72,16 +74,16 @@
     }
 }
 
-/// A write that failed.
+/// A failed write.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct WriteFailure {
     /// Whether the transport had accepted some bytes.
-    pub(crate) is_begun: bool,
+    pub(crate) has_written: bool,
 }
 
-/// The time after which the back end closes an idle connection, from `Keep-Alive: timeout=5`.
-fn told_keep_alive(fields: &Fields) -> Option<Duration> {
-    let told = fields.text("keep-alive")?;
-    let seconds = told.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
+/// Time after which the back end closes an idle connection, from a field such as `Keep-Alive: timeout=5`.
+fn parse_keep_alive(fields: &Fields) -> Option<Duration> {
+    let value = fields.text("keep-alive")?;
+    let seconds = value.split(',').find_map(|part| part.trim().strip_prefix("timeout="))?;
     seconds.trim().parse().ok().map(Duration::from_secs)
 }
--- a/crates/forwarding/src/upstream/exchange.rs
+++ b/crates/forwarding/src/upstream/exchange.rs
@@ -1,4 +1,4 @@
-//! One request to the back end and its answer.
+//! One request to the back end and its response.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -21,16 +21,18 @@
 use crate::message::{RequestBody, ResponseBody};
 use crate::outcome::{NotRunReason, UnknownReason};
 
-/// Longest head of an answer, in bytes.
+/// Maximum size of a response head, in bytes.
 const MAX_HEAD_BYTES: usize = 64 * 1024;
-/// Longest body that is collected before it is passed on. Up to here an answer that breaks off can still be replaced.
-const MAX_WHOLE_BODY: usize = 1024 * 1024;
-/// Time after its head in which a body is collected. One that comes more slowly is passed on as it comes.
-const COLLECTING_TIME: Duration = Duration::from_millis(150);
-/// Most answers to earlier requests that are passed over on one connection.
+/// Maximum size of a body that is buffered before it is forwarded. Until then a response that breaks off can
+/// still be replaced.
+const MAX_BUFFERED_BODY: usize = 1024 * 1024;
+/// Time after the head for which a body is buffered. A body that takes longer is forwarded as it arrives.
+const BUFFERING_TIME: Duration = Duration::from_millis(150);
+/// Maximum number of responses to earlier requests that are skipped on one connection.
 const MAX_SURPLUS: u32 = 4;
 
-/// Status by which a back end says that another one is meant; it does not run the request then.
+/// Status with which a back end reports that the request was meant for another one. It does not run the
+/// request.
 pub(crate) const MISDIRECTED: u16 = 421;
 
 /// A request as it is written to the back end.
@@ -39,7 +41,7 @@
     pub(crate) id: &'a [u8],
     pub(crate) method: &'a [u8],
     pub(crate) target: &'a [u8],
-    /// Header fields without framing.
+    /// Header fields without those for framing.
     pub(crate) fields: &'a Fields,
     pub(crate) deadline: Instant,
 }
@@ -47,25 +49,25 @@
 /// How an exchange ended.
 #[derive(Debug)]
 pub(crate) enum ExchangeEnd {
-    /// The back end answered this request, whatever the status.
+    /// The back end sent a response to this request, whatever its status.
     Answered { status: u16, fields: Fields, body: ResponseBody },
-    /// Nothing of the request reached the back end.
+    /// No part of the request reached the back end.
     NotSent(NotRunReason),
-    /// The back end said that it did not run the request.
+    /// The back end reported that it did not run the request.
     Rejected { status: u16 },
     /// The request may have run.
     Unknown(UnknownReason),
 }
 
-/// Runs exchanges over a pool.
+/// Runs exchanges over the connections of a pool.
 pub(crate) struct Exchanger<'a> {
     pub(crate) pool: &'a Arc<UpstreamPool>,
     pub(crate) header_profile: &'a HeaderProfile,
-    /// Told the load field of each answer, before the answer's body is read.
-    pub(crate) loads: &'a dyn LoadListener,
+    /// Receives the load field of each response before the response body is read.
+    pub(crate) load_listener: &'a dyn LoadListener,
 }
 
-/// Why no head of an answer was had.
+/// Why no response head was received.
 enum HeadFailure {
     /// Nothing was written; another connection may be tried.
     NothingWritten,
@@ -73,7 +75,7 @@
 }
 
 impl Exchanger<'_> {
-    /// Sends `request` and reads its answer.
+    /// Sends `request` and reads its response.
     pub(crate) async fn run(&self, request: &ExchangeRequest<'_>, body: RequestBody) -> ExchangeEnd {
         let exchange = self.exchange(request, body);
         match timeout_at(request.deadline, exchange).await {
@@ -83,7 +85,7 @@
     }
 
     async fn exchange(&self, request: &ExchangeRequest<'_>, body: RequestBody) -> ExchangeEnd {
-        // A connection that the back end closed a moment ago takes no byte; a new one follows.
+        // An idle connection that the back end has just closed accepts no data, so the next one is tried.
         while let Some(connection) = self.pool.idle() {
             let Some(body) = body.for_attempt() else {
                 return ExchangeEnd::NotSent(NotRunReason::BodyBroken);
@@ -114,17 +116,19 @@
         let (head, is_sent_whole) = match body {
             RequestBody::Whole(whole) => {
                 let is_sent_whole = write_whole(&mut connection, request, &whole).await?;
-                (self.own_answer(&mut connection, request).await?, is_sent_whole)
+                (self.read_own_head(&mut connection, request).await?, is_sent_whole)
+            }
+            RequestBody::Pending(pending) => {
+                self.exchange_pending(&mut connection, request, &pending).await?
             }
-            RequestBody::Pending(pending) => self.with_pending(&mut connection, request, &pending).await?,
             RequestBody::Consumed => return Ok(ExchangeEnd::NotSent(NotRunReason::BodyBroken)),
         };
-        self.read_answer(connection, request, head, is_sent_whole).await
+        self.read_response(connection, request, head, is_sent_whole).await
     }
 
-    /// Begins a body, sends it while it arrives, and reads the answer, which may come before the body has been sent. Tells
-    /// whether the whole body was sent; if not, the connection can't serve again.
-    async fn with_pending(
+    /// Starts a body, sends it while it arrives, and reads the response, which may arrive before the body is
+    /// sent. Also returns whether the whole body was sent; if not, the connection cannot be reused.
+    async fn exchange_pending(
         &self,
         connection: &mut UpstreamConnection,
         request: &ExchangeRequest<'_>,
@@ -133,7 +137,7 @@
         let framing = pending.length().map_or(Framing::Chunked, Framing::Length);
         let mut head = BytesMut::new();
         write_request_head(&mut head, request.method, request.target, request.fields, framing);
-        connection.write(&head).await.map_err(|failure| unknown_if(failure.is_begun))?;
+        connection.write(&head).await.map_err(|failure| write_failure(failure.has_written))?;
         let Some(mut stream) = pending.begin() else {
             return Err(HeadFailure::Unknown(UnknownReason::BodyBroken));
         };
@@ -153,14 +157,15 @@
                     if self.is_own(&head, request.id) {
                         return Ok((head, is_sent_whole));
                     }
-                    self.pass_over_surplus(reader, &head, request.method, &mut surplus).await?;
+                    self.skip_surplus(reader, &head, request.method, &mut surplus).await?;
                 }
                 sent = &mut sending, if is_sending => {
                     is_sending = false;
                     match sent {
                         Ok(()) => is_sent_whole = true,
                         Err(StreamFailure::Caller) => return Err(HeadFailure::Unknown(UnknownReason::BodyBroken)),
-                        // It may have answered before it read everything, so what it said is looked at.
+                        // The back end may have responded before it read the whole body, so its response is
+                        // still read.
                         Err(StreamFailure::BackEnd) => {}
                     }
                 }
@@ -168,9 +173,9 @@
         }
     }
 
-    /// Reads heads until one belongs to this request. A surplus answer to an earlier request of the connection may
-    /// stand in the place where this one's is due.
-    async fn own_answer(
+    /// Reads heads until one belongs to this request. A surplus response to an earlier request of the
+    /// connection may precede it.
+    async fn read_own_head(
         &self,
         connection: &mut UpstreamConnection,
         request: &ExchangeRequest<'_>,
@@ -184,12 +189,12 @@
             if self.is_own(&head, request.id) {
                 return Ok(head);
             }
-            self.pass_over_surplus(&mut connection.reader, &head, request.method, &mut surplus).await?;
+            self.skip_surplus(&mut connection.reader, &head, request.method, &mut surplus).await?;
         }
     }
 
-    /// Reads the answer that `head` begins and that belongs to an earlier request.
-    async fn pass_over_surplus(
+    /// Skips the response that starts with `head` and belongs to an earlier request.
+    async fn skip_surplus(
         &self,
         reader: &mut MessageReader<ReadHalf<BoxStream>>,
         head: &ResponseHead,
@@ -198,13 +203,13 @@
     ) -> Result<(), HeadFailure> {
         *surplus += 1;
         let names_another = head.fields.get(self.header_profile.request_id).is_some();
-        if names_another && *surplus <= MAX_SURPLUS && pass_over(reader, head, method).await {
+        if names_another && *surplus <= MAX_SURPLUS && skip_body(reader, head, method).await {
             return Ok(());
         }
         Err(HeadFailure::Unknown(UnknownReason::InvalidResponse))
     }
 
-    /// Whether an answer belongs to the request called `id`. A back end that turns a request away need not name it.
+    /// Whether a response belongs to the request `id`. A rejection need not name the request.
     fn is_own(&self, head: &ResponseHead, id: &[u8]) -> bool {
         match head.fields.get(self.header_profile.request_id) {
             Some(echoed) => echoed == id,
@@ -212,12 +217,12 @@
         }
     }
 
-    /// Whether the back end says that it did not run the request.
+    /// Whether the back end reports that it did not run the request.
     fn is_rejection(&self, head: &ResponseHead) -> bool {
         self.header_profile.not_executed.is_in(&head.fields) || head.status == MISDIRECTED
     }
 
-    async fn read_answer(
+    async fn read_response(
         &self,
         mut connection: UpstreamConnection,
         request: &ExchangeRequest<'_>,
@@ -225,23 +230,24 @@
         is_sent_whole: bool,
     ) -> Result<ExchangeEnd, HeadFailure> {
         if let Some(load) = head.fields.text(self.header_profile.load) {
-            self.loads.on_load_field(load);
+            self.load_listener.on_load_field(load);
         }
-        let spoiled = Ok(ExchangeEnd::Unknown(UnknownReason::InvalidResponse));
-        let Ok(framing) = response_framing(&head, request.method) else { return spoiled };
-        let is_kept = connection.stays_open(&head.fields) && is_sent_whole && framing != Framing::UntilClose;
+        let invalid = Ok(ExchangeEnd::Unknown(UnknownReason::InvalidResponse));
+        let Ok(framing) = response_framing(&head, request.method) else { return invalid };
+        let is_kept =
+            connection.update_keep_alive(&head.fields) && is_sent_whole && framing != Framing::UntilClose;
         if self.is_rejection(&head) {
             self.discard(connection, framing, is_kept).await;
             return Ok(ExchangeEnd::Rejected { status: head.status });
         }
         if !self.is_trusted(&head) {
-            return spoiled;
+            return invalid;
         }
         let mut decoder = BodyDecoder::new(framing);
-        let mut collected = BytesMut::new();
-        let collect_until = Instant::now() + COLLECTING_TIME;
-        while collected.len() <= MAX_WHOLE_BODY {
-            let part = match timeout_at(collect_until, connection.reader.body_part(&mut decoder)).await {
+        let mut buffered = BytesMut::new();
+        let buffer_until = Instant::now() + BUFFERING_TIME;
+        while buffered.len() <= MAX_BUFFERED_BODY {
+            let part = match timeout_at(buffer_until, connection.reader.body_part(&mut decoder)).await {
                 Ok(Ok(part)) => part,
                 Ok(Err(_broken)) => return Ok(ExchangeEnd::Unknown(UnknownReason::TruncatedResponse)),
                 Err(_elapsed) => break,
@@ -250,20 +256,20 @@
                 if is_kept {
                     self.pool.put_back(connection);
                 }
-                let body = ResponseBody::Whole(collected.freeze());
+                let body = ResponseBody::Whole(buffered.freeze());
                 return Ok(answered(head, body));
             };
-            if decoder.is_done() && collected.is_empty() {
+            if decoder.is_done() && buffered.is_empty() {
                 if is_kept {
                     self.pool.put_back(connection);
                 }
                 return Ok(answered(head, ResponseBody::Whole(part)));
             }
-            collected.extend_from_slice(&part);
+            buffered.extend_from_slice(&part);
         }
         let length = if let Framing::Length(length) = framing { Some(length) } else { None };
         let body = UpstreamBody {
-            first: Some(collected.freeze()).filter(|first| !first.is_empty()),
+            first: Some(buffered.freeze()).filter(|first| !first.is_empty()),
             connection: Some(connection),
             decoder,
             length,
@@ -275,7 +281,8 @@
         Ok(answered(head, ResponseBody::Upstream(Box::new(body))))
     }
 
-    /// Whether a success carries the back end's proof, and no encoding that nobody asked for.
+    /// Whether a successful response carries the back end's signature and no content encoding, since none was
+    /// requested. Other responses need neither.
     fn is_trusted(&self, head: &ResponseHead) -> bool {
         let is_success = (200..300).contains(&head.status);
         let is_signed = self.header_profile.signature.is_none_or(|name| head.fields.contains(name));
@@ -284,7 +291,7 @@
 
     async fn discard(&self, mut connection: UpstreamConnection, framing: Framing, is_kept: bool) {
         let mut decoder = BodyDecoder::new(framing);
-        let rest = connection.reader.whole_body(&mut decoder, MAX_WHOLE_BODY).await;
+        let rest = connection.reader.whole_body(&mut decoder, MAX_BUFFERED_BODY).await;
         if is_kept && matches!(rest, Ok(Some(_))) {
             self.pool.put_back(connection);
         }
@@ -299,8 +306,8 @@
     matches!(head.status, 100..=199)
 }
 
-const fn unknown_if(is_begun: bool) -> HeadFailure {
-    if is_begun { HeadFailure::Unknown(UnknownReason::BackEndClosed) } else { HeadFailure::NothingWritten }
+const fn write_failure(has_written: bool) -> HeadFailure {
+    if has_written { HeadFailure::Unknown(UnknownReason::BackEndClosed) } else { HeadFailure::NothingWritten }
 }
 
 fn head_failure(error: umberpond_http1::HeadError) -> HeadFailure {
@@ -311,8 +318,8 @@
     })
 }
 
-/// Writes the whole request; `false` if only a part of it was written. The back end may have answered before it read
-/// everything, so what it said is looked at then.
+/// Writes the whole request; returns `false` if only a part of it was written. The back end may have
+/// responded before it read everything, so its response is still read in that case.
 async fn write_whole(
     connection: &mut UpstreamConnection,
     request: &ExchangeRequest<'_>,
@@ -324,12 +331,12 @@
     bytes.extend_from_slice(body);
     match connection.write(&bytes).await {
         Ok(()) => Ok(true),
-        Err(failure) if failure.is_begun => Ok(false),
+        Err(failure) if failure.has_written => Ok(false),
         Err(_) => Err(HeadFailure::NothingWritten),
     }
 }
 
-/// Why a streamed body was not sent to its end.
+/// The side that interrupted a streamed body.
 enum StreamFailure {
     Caller,
     BackEnd,
@@ -359,8 +366,9 @@
     Ok(())
 }
 
-/// Reads the body of an answer that belongs to an earlier request; `false` if it has no certain end.
-async fn pass_over(
+/// Skips the body of a response to an earlier request; returns `false` if the end of the body cannot be
+/// determined.
+async fn skip_body(
     reader: &mut MessageReader<ReadHalf<BoxStream>>,
     head: &ResponseHead,
     method: &[u8],
@@ -370,5 +378,5 @@
         return false;
     }
     let mut decoder = BodyDecoder::new(framing);
-    matches!(reader.whole_body(&mut decoder, MAX_WHOLE_BODY).await, Ok(Some(_)))
+    matches!(reader.whole_body(&mut decoder, MAX_BUFFERED_BODY).await, Ok(Some(_)))
 }
--- a/crates/forwarding/src/upstream/load_field.rs
+++ b/crates/forwarding/src/upstream/load_field.rs
@@ -1,35 +1,36 @@
-//! The field in which a back end tells its load: `running,waiting,slots`, and with some back ends how long work takes there at this moment.
+//! The header field in which a back end reports its load: `running,waiting,slots`, and with some back ends
+//! the current slowdown as a fourth value.
 
-/// Positions of the values in the field, which commas separate.
-const SLOTS_PLACE: usize = 2;
-const SLOWDOWN_PLACE: usize = 3;
+/// Positions of the values in the comma-separated field.
+const SLOTS_POSITION: usize = 2;
+const SLOWDOWN_POSITION: usize = 3;
 
-/// What the node beside a back end does with its load field.
+/// Receives the load fields of a back end's responses.
 pub(crate) trait LoadListener: Send + Sync {
-    /// Called for each answer with such a field, as it stands there.
+    /// Called for each response with a load field, with the raw value of the field.
     fn on_load_field(&self, field: &str);
 }
 
-/// How long work takes at the back end at this moment, as it tells.
+/// Current slowdown of a back end, as it reports it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReportedSlowdown {
-    /// It doesn't tell.
+    /// The field has no slowdown.
     Unreported,
     /// In hundredths of the usual time.
     Percent(u16),
-    /// Its fourth value is not a slowdown.
+    /// The fourth value of the field is not a valid slowdown.
     Invalid,
 }
 
-/// The slots in a load field, if they are told.
-pub(super) fn told_slots(field: &str) -> Option<u32> {
-    field.split(',').nth(SLOTS_PLACE)?.trim().parse().ok()
+/// Parses the number of slots in a load field, if present.
+pub(super) fn parse_slots(field: &str) -> Option<u32> {
+    field.split(',').nth(SLOTS_POSITION)?.trim().parse().ok()
 }
 
-/// The slowdown in a load field.
-pub(crate) fn told_slowdown(field: &str) -> ReportedSlowdown {
-    let Some(figure) = field.split(',').nth(SLOWDOWN_PLACE) else { return ReportedSlowdown::Unreported };
-    match figure.trim().parse::<f64>() {
+/// Parses the slowdown in a load field.
+pub(crate) fn parse_slowdown(field: &str) -> ReportedSlowdown {
+    let Some(value) = field.split(',').nth(SLOWDOWN_POSITION) else { return ReportedSlowdown::Unreported };
+    match value.trim().parse::<f64>() {
         Ok(percent) if (0.0..=f64::from(u16::MAX)).contains(&percent) => {
             ReportedSlowdown::Percent(rounded(percent))
         }
@@ -37,7 +38,7 @@
     }
 }
 
-/// `percent` is from 0 to the highest that a `u16` holds.
+/// Rounds `percent`, which must be from 0 to the maximum of a `u16`.
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
 fn rounded(percent: f64) -> u16 {
     percent.round() as u16
--- a/crates/forwarding/src/upstream/mod.rs
+++ b/crates/forwarding/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! The connection to the back end beside this node.
+//! Connections to the local back end.
 
 mod body;
 mod connection;
@@ -12,5 +12,5 @@
 pub use health::Health;
 pub(crate) use health::probe_health;
 pub use load_field::ReportedSlowdown;
-pub(crate) use load_field::{LoadListener, told_slowdown};
-pub(crate) use pool::{Contact, UpstreamPool, UpstreamSettings};
+pub(crate) use load_field::{LoadListener, parse_slowdown};
+pub(crate) use pool::{ConnectCheck, UpstreamPool, UpstreamSettings};
--- a/crates/forwarding/src/upstream/pool.rs
+++ b/crates/forwarding/src/upstream/pool.rs
@@ -1,4 +1,4 @@
-//! Idle connections to one back end.
+//! Pool of connections to one back end.
 
 use std::io;
 use std::net::SocketAddr;
@@ -14,25 +14,24 @@
 /// Limits of the connections to a back end.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct UpstreamSettings {
-    /// Longest time to open a connection.
+    /// Timeout for opening a connection.
     pub(crate) connect_time: Duration,
-    /// Most idle connections kept.
+    /// Maximum number of idle connections.
     pub(crate) idle: usize,
 }
 
-/// Opens connections to one back end and keeps those that may serve again.
-/// Whether a back end takes connections.
+/// Result of a check whether a back end accepts connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(crate) enum Contact {
-    /// It has taken one.
-    Taken,
+pub(crate) enum ConnectCheck {
+    /// It accepted a connection.
+    Accepted,
     /// Nothing listens at its address.
     Refused,
-    /// No answer in time, or the connection failed on this side.
-    Unclear,
+    /// The check timed out or failed on this side.
+    Inconclusive,
 }
 
-/// Idle connections to one back end.
+/// Opens connections to one back end and keeps those that can be reused.
 pub(crate) struct UpstreamPool {
     network: Arc<dyn Network>,
     address: SocketAddr,
@@ -49,7 +48,7 @@
         Arc::new(Self { network, address, settings, idle: Mutex::default() })
     }
 
-    /// A connection that may serve again, the one used last first.
+    /// Takes a reusable idle connection, the most recently used one first.
     pub(crate) fn idle(&self) -> Option<UpstreamConnection> {
         loop {
             let mut connection = self.idle.lock().pop()?;
@@ -59,26 +58,26 @@
         }
     }
 
-    /// Opens a connection; `None` if that fails or takes too long.
+    /// Opens a connection; `None` on failure or timeout.
     pub(crate) async fn connect(&self, deadline: Instant) -> Option<UpstreamConnection> {
         let until = deadline.min(Instant::now() + self.settings.connect_time);
         let connecting = timeout_at(until, self.network.connect(self.address));
         connecting.await.ok()?.ok().map(UpstreamConnection::new)
     }
 
-    /// Finds out within `longest` whether the back end takes connections.
-    pub(crate) async fn contact(&self, longest: Duration) -> Contact {
+    /// Checks whether the back end accepts connections, for at most `longest`.
+    pub(crate) async fn check_connect(&self, longest: Duration) -> ConnectCheck {
         match timeout(longest, self.network.connect(self.address)).await {
             Ok(Ok(stream)) => {
                 self.put_back(UpstreamConnection::new(stream));
-                Contact::Taken
+                ConnectCheck::Accepted
             }
-            Ok(Err(error)) if is_refusal(&error) => Contact::Refused,
-            Ok(Err(_)) | Err(_) => Contact::Unclear,
+            Ok(Err(error)) if is_refusal(&error) => ConnectCheck::Refused,
+            Ok(Err(_)) | Err(_) => ConnectCheck::Inconclusive,
         }
     }
 
-    /// Takes back a connection whose exchange has come to its proper end.
+    /// Returns a connection to the pool after a complete exchange.
     pub(crate) fn put_back(&self, connection: UpstreamConnection) {
         let mut idle = self.idle.lock();
         if idle.len() < self.settings.idle {
@@ -91,13 +90,14 @@
         self.idle.lock().clear();
     }
 
-    /// Closes the idle connections that may not serve again.
+    /// Closes the idle connections that can no longer be reused.
     pub(crate) fn close_expired(&self) {
         self.idle.lock().retain_mut(UpstreamConnection::is_usable);
     }
 }
 
-/// Whether the other machine has said that nothing listens there. Other failures, such as a want of descriptors, say nothing of the back end.
+/// Whether the peer reports that nothing listens at the address. Other failures, such as a lack of file
+/// descriptors, say nothing about the back end.
 fn is_refusal(error: &io::Error) -> bool {
     matches!(error.kind(), io::ErrorKind::ConnectionRefused | io::ErrorKind::ConnectionReset)
 }
--- a/crates/forwarding/tests/bodies.rs
+++ b/crates/forwarding/tests/bodies.rs
@@ -1,4 +1,4 @@
-//! Long request bodies: when they move, and what moves beside them.
+//! Long request bodies: when they are transferred, and their effect on other requests.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 use umberpond_forwarding::BackEnd;
 
-/// Bytes a second of the slow links.
+/// Bandwidth of the slow links in bytes per second.
 const SLOW_LINK: f64 = 1_250_000.0;
 const CALLERS: u8 = 1;
 
@@ -18,13 +18,13 @@
     )
 }
 
-/// Bytes of all values, so that no codec makes them shorter.
-fn photo(length: usize) -> Vec<u8> {
+/// Bytes of all values, so that no codec can compress them.
+fn incompressible(length: usize) -> Vec<u8> {
     (0..length).map(|index| (index.wrapping_mul(2_654_435_761) >> 7) as u8).collect()
 }
 
-/// Lets the back end of the first node work on `slots` requests at once.
-fn widen(world: &World, slots: u32) {
+/// Sets the number of slots of the first node's back end.
+fn set_slots(world: &World, slots: u32) {
     let served = &world.served[0];
     served.inbound.open(BackEnd {
         life: umberpond_model::BackEndProcess::of(&served.endpoint.instance),
@@ -36,16 +36,16 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_long_body_goes_elsewhere_after_a_refusal() {
+async fn long_body_is_sent_to_another_back_end_after_a_rejection() {
     let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     world.served[0].inbound.close();
-    let long = photo(360_000);
+    let long = incompressible(360_000);
     for number in 0..6 {
         let mut caller = world.caller().await;
         caller.write(upload_head(&format!("r{number}"), long.len())).await;
         caller.write(&long).await;
-        let answer = caller.read().await.unwrap();
-        assert_eq!((answer.status, answer.text()), (200, "b"));
+        let response = caller.read().await.unwrap();
+        assert_eq!((response.status, response.text()), (200, "b"));
     }
     let seen = world.served[1].back_end.seen();
     assert_eq!(seen.len(), 6);
@@ -53,36 +53,36 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_body_of_a_refused_request_crosses_no_link() {
+async fn body_of_a_rejected_request_is_not_sent_over_the_link() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     world.served[0].inbound.close();
     for number in 0..6 {
         let mut caller = world.caller().await;
         caller.write(upload_head(&format!("r{number}"), 200_000)).await;
-        caller.write(photo(200_000)).await;
+        caller.write(incompressible(200_000)).await;
         assert_eq!(caller.read().await.unwrap().status, 503);
     }
     let sent = world.network.bytes_sent(host(CALLERS), host(10));
-    assert!(sent < 10_000, "{sent} bytes were sent for nothing");
+    assert!(sent < 10_000, "{sent} bytes were sent for rejected requests");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refusal_of_a_long_body_ends_the_connection_after_the_whole_answer() {
+async fn rejection_of_a_long_body_closes_the_connection_after_the_response() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     world.served[0].inbound.close();
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", 200_000)).await;
     caller.write(vec![b'x'; 50_000]).await;
-    let answer = caller.read().await.unwrap();
-    assert_eq!((answer.status, answer.fields.contains("retry-after")), (503, true));
-    assert_eq!(answer.fields.text("connection"), Some("close"), "the rest of the body is still due");
+    let response = caller.read().await.unwrap();
+    assert_eq!((response.status, response.fields.contains("retry-after")), (503, true));
+    assert_eq!(response.fields.text("connection"), Some("close"), "the remainder of the body was not read");
 }
 
 #[tokio::test(start_paused = true)]
-async fn small_requests_pass_between_long_bodies_on_a_slow_link() {
+async fn small_requests_are_not_blocked_by_long_bodies_on_a_slow_link() {
     let world = World::with_link(vec![vec![ok("a")]], SLOW_LINK).await;
-    widen(&world, 12);
-    // So that it is known how fast the back end is.
+    set_slots(&world, 12);
+    // Lets the node measure the service time of the back end.
     for number in 0..3 {
         assert_eq!(world.caller().await.ask("/write/a", &format!("w{number}")).await.status, 200);
     }
@@ -92,7 +92,7 @@
         let mut caller = world.caller().await;
         uploads.push(tokio::spawn(async move {
             caller.write(upload_head(&format!("u{number}"), 60_000)).await;
-            caller.write(photo(60_000)).await;
+            caller.write(incompressible(60_000)).await;
             caller.read().await.unwrap().status
         }));
     }
@@ -111,10 +111,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_that_would_come_too_late_is_refused_before_it_moves() {
+async fn body_that_would_arrive_too_late_is_rejected_before_the_transfer() {
     let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 50 };
     let world = World::with_link(vec![vec![slow]], SLOW_LINK).await;
-    widen(&world, 64);
+    set_slots(&world, 64);
     world.network.limit_bandwidth(host(CALLERS), 1_250_000);
     let mut uploads = Vec::new();
     for number in 0..30 {
@@ -122,7 +122,7 @@
         uploads.push(tokio::spawn(async move {
             let began = Instant::now();
             caller.write(upload_head(&format!("u{number}"), 60_000)).await;
-            caller.write(photo(60_000)).await;
+            caller.write(incompressible(60_000)).await;
             (caller.read().await.unwrap().status, began.elapsed().as_millis())
         }));
     }
@@ -131,21 +131,21 @@
         match upload.await.unwrap() {
             (200, taken) => {
                 served += 1;
-                assert!(taken <= 500, "answered after {taken} ms, beyond the objective");
+                assert!(taken <= 500, "response after {taken} ms, beyond the objective");
             }
             (status, taken) => {
                 refused += 1;
                 assert_eq!(status, 503);
-                assert!(taken <= 60, "refused after {taken} ms");
+                assert!(taken <= 60, "rejected after {taken} ms");
             }
         }
     }
-    // 500 ms of the link bear ten bodies.
-    assert!((4..=10).contains(&served), "{served} were served, {refused} refused");
+    // The link transfers ten bodies in 500 ms.
+    assert!((4..=10).contains(&served), "{served} were served, {refused} rejected");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_cut_by_the_caller_is_cut_at_the_back_end_and_nothing_follows_it() {
+async fn body_truncated_by_the_caller_ends_the_back_end_connection() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", 360_000)).await;
@@ -153,26 +153,26 @@
     pause(50).await;
     drop(caller);
     pause(500).await;
-    assert_eq!(world.arrivals(), 0, "the back end has read no whole request");
+    assert_eq!(world.arrivals(), 0, "the back end has received no complete request");
     assert_eq!(world.caller().await.ask("/read/a", "r2").await.status, 200);
     let seen = world.served[0].back_end.seen();
-    assert_eq!((seen.len(), seen[0].connection), (1, 2), "the next request goes over another connection");
+    assert_eq!((seen.len(), seen[0].connection), (1, 2), "the next request uses another connection");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_body_cut_by_the_node_beside_the_back_end_ends_as_unknown() {
+async fn body_interrupted_by_a_node_crash_has_an_unknown_outcome() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", 360_000)).await;
     caller.write(vec![b'x'; 100_000]).await;
     pause(50).await;
     world.network.kill(host(10));
-    let answer = caller.read().await.unwrap();
-    assert_eq!(answer.status, 502, "its head has reached the back end");
+    let response = caller.read().await.unwrap();
+    assert_eq!(response.status, 502, "the request head has reached the back end");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_long_chunked_body_arrives_whole() {
+async fn long_chunked_body_arrives_complete() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
@@ -186,7 +186,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_answer_to_an_earlier_request_does_not_spoil_that_of_a_long_body() {
+async fn late_response_to_an_earlier_request_is_not_taken_for_that_of_a_long_body() {
     let first = ScriptedResponse::Slowly {
         first: "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 3\r\n\r\none",
         second: "HTTP/1.1 200 OK\r\numberpond-request: r1\r\nx-proof: p\r\nContent-Length: 4\r\n\r\nlate",
@@ -197,23 +197,23 @@
     let mut caller = world.caller().await;
     caller.write(upload_head("r2", 200_000)).await;
     pause(10).await;
-    caller.write(photo(200_000)).await;
-    let answer = caller.read().await.unwrap();
-    assert_eq!((answer.status, answer.text()), (200, "own"));
+    caller.write(incompressible(200_000)).await;
+    let response = caller.read().await.unwrap();
+    assert_eq!((response.status, response.text()), (200, "own"));
 }
 
-/// Moves the first node to another zone than that of the callers.
-fn move_away(world: &mut World) {
+/// Moves the first node to a zone other than that of the callers.
+fn move_to_other_zone(world: &mut World) {
     world.served[0].endpoint.locality.zone = "b".parse().unwrap();
     world.publish_endpoints();
 }
 
-/// Bytes between zones are dear, and in overload most of what is sent there is refused.
+/// Traffic between zones is expensive, and under overload most requests sent there are rejected.
 #[tokio::test(start_paused = true)]
-async fn a_body_of_some_kilobytes_crosses_to_another_zone_only_with_a_slot() {
+async fn body_is_sent_to_another_zone_only_once_its_request_has_a_slot() {
     let mut world = World::with_routes(vec![vec![ok("a")]]).await;
-    move_away(&mut world);
-    let body = photo(6_000);
+    move_to_other_zone(&mut world);
+    let body = incompressible(6_000);
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", body.len())).await;
     caller.write(&body).await;
@@ -228,16 +228,16 @@
         assert_eq!(caller.read().await.unwrap().status, 503);
     }
     let sent = world.network.bytes_sent(host(CALLERS), host(10)) - before;
-    assert!(sent < 3_000, "{sent} bytes were sent for nothing");
+    assert!(sent < 3_000, "{sent} bytes were sent for rejected requests");
 }
 
-/// Its body can be sent again, unlike that of a caller that is still sending.
+/// The body can be sent again, unlike that of a caller that is still sending.
 #[tokio::test(start_paused = true)]
-async fn a_request_refused_in_another_zone_is_served_elsewhere_with_its_whole_body() {
+async fn request_rejected_in_another_zone_is_retried_elsewhere_with_its_whole_body() {
     let mut world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
-    move_away(&mut world);
+    move_to_other_zone(&mut world);
     world.served[0].inbound.close();
-    let body = photo(6_000);
+    let body = incompressible(6_000);
     for number in 0..6 {
         let mut caller = world.caller().await;
         caller.write(upload_head(&format!("r{number}"), body.len())).await;
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -1,4 +1,4 @@
-//! Back ends that leave, and processes that stop.
+//! Back ends that shut down, and processes that stop.
 
 mod support;
 
@@ -11,51 +11,51 @@
 use umberpond_model::BackEndProcess;
 
 #[tokio::test(start_paused = true)]
-async fn a_closed_back_end_gets_nothing_more_and_finishes_what_it_holds() {
+async fn closed_back_end_gets_no_new_requests_and_finishes_running_ones() {
     let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 800 };
     let world = World::with_routes(vec![vec![slow.clone()]]).await;
-    let mut asking = Vec::new();
+    let mut tasks = Vec::new();
     for number in 0..4 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move { caller.ask("/write/a", &format!("r{number}")).await.status }));
+        tasks.push(tokio::spawn(async move { caller.ask("/write/a", &format!("r{number}")).await.status }));
     }
     pause(100).await;
     world.served[0].inbound.close();
     assert_eq!(world.caller().await.ask("/write/a", "late").await.status, 503);
-    let mut told = Vec::new();
-    for asked in asking {
-        told.push(asked.await.unwrap());
+    let mut statuses = Vec::new();
+    for task in tasks {
+        statuses.push(task.await.unwrap());
     }
-    told.sort_unstable();
-    // Those that waited for a slot were not run, and are told so.
-    assert_eq!(told, [200, 200, 503, 503]);
+    statuses.sort_unstable();
+    // The requests that waited for a slot did not run and were rejected.
+    assert_eq!(statuses, [200, 200, 503, 503]);
     assert_eq!(world.arrivals(), SLOTS as usize);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_waits_for_a_leaving_back_end_is_sent_to_another() {
+async fn requests_waiting_for_a_closed_back_end_are_sent_to_another() {
     let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 100 };
     let world = World::with_routes(vec![vec![slow.clone()], vec![slow]]).await;
-    // So that it is known how fast the back ends are.
+    // Lets the nodes measure the service times of the back ends.
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/write/a", &format!("w{number}")).await.status, 200);
     }
     let before = world.served[0].back_end.seen().len();
-    let mut asking = Vec::new();
+    let mut tasks = Vec::new();
     for number in 0..6 {
         let mut caller = world.caller().await;
-        asking.push(tokio::spawn(async move { caller.ask("/write/a", &format!("r{number}")).await.status }));
+        tasks.push(tokio::spawn(async move { caller.ask("/write/a", &format!("r{number}")).await.status }));
     }
     pause(20).await;
     world.served[0].inbound.close();
-    for asked in asking {
-        assert_eq!(asked.await.unwrap(), 200);
+    for task in tasks {
+        assert_eq!(task.await.unwrap(), 200);
     }
     assert_eq!(world.served[0].back_end.seen().len() - before, SLOTS as usize);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_back_end_of_another_service_gets_no_request_meant_for_the_one_before_it() {
+async fn request_is_not_sent_to_a_back_end_of_another_service() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let other = BackEnd {
@@ -71,14 +71,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_back_end_that_can_not_be_reached_is_told_to_its_node() {
+async fn unreachable_back_end_is_reported_to_its_node() {
     let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
-    let nowhere = "10.0.0.10:999".parse().unwrap();
+    let unused_address = "10.0.0.10:999".parse().unwrap();
     let gone = BackEnd {
         life: BackEndProcess::of("life-10"),
         service: name("archive"),
         release: None,
-        address: nowhere,
+        address: unused_address,
         slots: SLOTS,
     };
     let mut unreachable = world.served[0].inbound.watch_unreachable();
@@ -90,29 +90,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_back_end_tells_its_life_and_its_slots_when_asked() {
+async fn health_check_returns_the_instance_and_the_slots() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let health = world.served[0].inbound.probe_health(address, "/well").await.unwrap();
     assert_eq!((health.instance.as_deref(), health.slots), (Some("life-10"), Some(7)));
-    let nowhere = "10.0.0.10:999".parse().unwrap();
-    assert!(world.served[0].inbound.probe_health(nowhere, "/well").await.is_none());
+    let unused_address = "10.0.0.10:999".parse().unwrap();
+    assert!(world.served[0].inbound.probe_health(unused_address, "/well").await.is_none());
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_leaving_node_serves_and_ends_each_connection_with_its_answer() {
+async fn draining_node_closes_each_connection_after_its_response() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let mut kept = world.caller().await;
     assert_eq!(kept.ask("/write/a", "r1").await.fields.text("connection"), None);
     world.control.leave(Instant::now() + Duration::from_secs(5));
-    let answer = kept.ask("/write/a", "r2").await;
-    assert_eq!((answer.status, answer.fields.text("connection")), (200, Some("close")));
+    let response = kept.ask("/write/a", "r2").await;
+    assert_eq!((response.status, response.fields.text("connection")), (200, Some("close")));
     assert!(kept.read().await.is_none());
     assert_eq!(world.caller().await.ask("/write/a", "r3").await.status, 200);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refusing_node_says_at_once_when_to_come_back_and_finishes_what_is_open() {
+async fn refusing_node_sends_retry_after_immediately_and_finishes_open_requests() {
     let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 900 };
     let world = World::with_routes(vec![vec![slow]]).await;
     let mut open = world.caller().await;
@@ -131,7 +131,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn every_request_has_its_final_answer_before_the_process_ends() {
+async fn every_request_gets_a_final_response_before_the_process_ends() {
     let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
     let mut early = world.caller().await;
     early.send("/write/a", "r1").await;
--- a/crates/forwarding/tests/support/back_end.rs
+++ b/crates/forwarding/tests/support/back_end.rs
@@ -1,4 +1,4 @@
-//! A back end that does as its script says.
+//! A scripted back end.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,32 +10,33 @@
 use umberpond_http1::{BodyDecoder, MessageReader, ReadLimits, RequestHead, request_framing};
 use umberpond_net::{BoxStream, Network};
 
-/// What a back end does with one request.
+/// What a scripted back end does with one request.
 #[derive(Debug, Clone)]
 pub enum ScriptedResponse {
-    /// Answers with this status and body after some milliseconds.
+    /// Responds with this status and body after some milliseconds.
     Answer { status: u16, body: &'static str, after: u64 },
-    /// Writes this in place of an answer; `{id}` stands for the request's identity. The connection stays.
+    /// Writes this instead of a regular response; `{id}` stands for the identity of the request. The
+    /// connection stays open.
     Raw(&'static str),
-    /// As [`ScriptedResponse::Raw`], and ends the connection.
+    /// As [`ScriptedResponse::Raw`], and closes the connection.
     RawThenClose(&'static str),
-    /// Writes the first part at once, and the second after some milliseconds.
+    /// Writes the first part immediately, and the second after some milliseconds.
     Slowly { first: &'static str, second: &'static str, after: u64 },
-    /// Says nothing and keeps the connection.
+    /// Sends no response and keeps the connection open.
     Silence,
-    /// Answers before it has read the body, and reads no more.
+    /// Responds before it has read the body, and reads nothing more.
     EarlyAnswer { status: u16, body: &'static str },
 }
 
-/// The acts by the count of requests so far; the last one is repeated.
+/// The actions in the order of the requests; the last one is repeated.
 pub type Script = Vec<ScriptedResponse>;
 
-/// A success with a body, at once.
+/// A successful response with a body, after 5 ms.
 pub const fn ok(body: &'static str) -> ScriptedResponse {
     ScriptedResponse::Answer { status: 200, body, after: 5 }
 }
 
-/// A request as the back end saw it.
+/// A request as the back end received it.
 #[derive(Debug, Clone)]
 pub struct Seen {
     pub head: RequestHead,
@@ -50,19 +51,19 @@
     }
 }
 
-/// Load told in health answers.
+/// Default load in health responses.
 const HEALTH_LOAD: &str = "1,0,7";
 
 #[derive(Debug, Default)]
 struct State {
-    /// Load told in health answers; [`HEALTH_LOAD`] if absent.
+    /// Load in health responses; [`HEALTH_LOAD`] if `None`.
     health_load: Option<&'static str>,
     seen: Vec<Seen>,
     connections: usize,
     closed: Vec<(usize, Instant)>,
 }
 
-/// A back end that does as its script says.
+/// A back end that handles requests according to a script.
 pub struct ScriptedBackEnd {
     state: Arc<Mutex<State>>,
 }
@@ -95,7 +96,7 @@
         self.state.lock().seen.clone()
     }
 
-    /// Sets the load told in health answers.
+    /// Sets the load in health responses.
     pub fn set_health_load(&self, load: &'static str) {
         self.state.lock().health_load = Some(load);
     }
@@ -104,7 +105,7 @@
         self.state.lock().connections
     }
 
-    /// When each connection was seen to end.
+    /// Time at which each connection ended.
     pub fn closed(&self) -> Vec<(usize, Instant)> {
         self.state.lock().closed.clone()
     }
@@ -117,11 +118,11 @@
     while let Ok(Some(head)) = reader.request_head(limits).await {
         if &head.target[..] == b"/well" {
             let load = state.lock().health_load.unwrap_or(HEALTH_LOAD);
-            let answer = format!(
+            let response = format!(
                 "HTTP/1.1 200 OK\r\numberpond-serving-instance: {instance}\r\numberpond-load: {load}\r\n\
                  Content-Length: 0\r\n\r\n"
             );
-            writer.write_all(answer.as_bytes()).await.unwrap();
+            writer.write_all(response.as_bytes()).await.unwrap();
             continue;
         }
         let act = {
@@ -146,13 +147,13 @@
                     () = reader.peer_gone(1) => return,
                     () = sleep(Duration::from_millis(after)) => {}
                 }
-                let answer = answer(status, body, &id, instance);
-                if writer.write_all(answer.as_bytes()).await.is_err() {
+                let response = response(status, body, &id, instance);
+                if writer.write_all(response.as_bytes()).await.is_err() {
                     return;
                 }
             }
             ScriptedResponse::EarlyAnswer { status, body } => {
-                writer.write_all(answer(status, body, &id, instance).as_bytes()).await.unwrap();
+                writer.write_all(response(status, body, &id, instance).as_bytes()).await.unwrap();
                 reader.peer_gone(usize::MAX).await;
                 return;
             }
@@ -178,7 +179,7 @@
     }
 }
 
-fn answer(status: u16, body: &str, id: &str, instance: &str) -> String {
+fn response(status: u16, body: &str, id: &str, instance: &str) -> String {
     let length = body.len();
     format!(
         "HTTP/1.1 {status} Said\r\numberpond-request: {id}\r\nx-proof: proof-of-{instance}\r\n\
--- a/crates/forwarding/tests/support/caller.rs
+++ b/crates/forwarding/tests/support/caller.rs
@@ -1,4 +1,4 @@
-//! A caller's connection.
+//! A test caller.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,12 +7,12 @@
 use umberpond_http1::{BodyDecoder, Fields, MessageReader, ResponseHead, response_framing};
 use umberpond_net::{BoxStream, Network};
 
-/// An answer as the caller read it.
+/// A response as the caller read it.
 #[derive(Debug, Clone)]
 pub struct Read {
     pub status: u16,
     pub fields: Fields,
-    /// Absent if the body broke off.
+    /// `None` if the body ended prematurely.
     pub body: Option<Vec<u8>>,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// A caller's connection.
+/// Connection of a caller to its node.
 pub struct Caller {
     reader: MessageReader<ReadHalf<BoxStream>>,
     writer: WriteHalf<BoxStream>,
@@ -43,7 +43,7 @@
         self.write(get(path, id)).await;
     }
 
-    /// The next answer; absent if the connection ends before one.
+    /// Reads the next response; `None` if the connection ends before one.
     pub async fn read(&mut self) -> Option<Read> {
         let head = self.reader.response_head(64 * 1024).await.ok()?;
         let mut decoder = BodyDecoder::new(response_framing(&head, b"GET").unwrap());
@@ -51,22 +51,22 @@
         Some(Read { status: head.status, fields: head.fields, body: body.map(|body| body.to_vec()) })
     }
 
-    /// The head of the next answer.
+    /// Reads the head of the next response.
     pub async fn read_head(&mut self) -> ResponseHead {
-        self.reader.response_head(64 * 1024).await.expect("a head")
+        self.reader.response_head(64 * 1024).await.expect("a response head")
     }
 
-    /// The body that follows `head`; absent if it breaks off.
+    /// Reads the body that follows `head`; `None` if it ends prematurely.
     pub async fn read_rest(&mut self, head: &ResponseHead) -> Option<Vec<u8>> {
         let mut decoder = BodyDecoder::new(response_framing(head, b"GET").unwrap());
         let body = self.reader.whole_body(&mut decoder, 1 << 22).await.ok().flatten();
         body.map(|body| body.to_vec())
     }
 
-    /// Sends a request and reads its answer.
+    /// Sends a request and reads its response.
     pub async fn ask(&mut self, path: &str, id: &str) -> Read {
         self.send(path, id).await;
-        self.read().await.expect("an answer")
+        self.read().await.expect("a response")
     }
 }
 
--- a/crates/forwarding/tests/support/chain.rs
+++ b/crates/forwarding/tests/support/chain.rs
@@ -1,4 +1,4 @@
-//! A node whose back end calls a second service, and nodes of that service.
+//! A node whose back end calls a second service, and the nodes of that service.
 
 use std::collections::BTreeSet;
 use std::net::SocketAddr;
@@ -24,11 +24,11 @@
 use super::caller::{Caller, Read};
 use super::{BACK_END_PORT, DIALECT, INBOUND_PORT, OUTBOUND_PORT, host, locality, name, route, service};
 
-/// Host of the node at which callers' requests enter, beside the calling back end.
+/// Host of the calling back end and of the node that receives the callers' requests.
 const DESK: u8 = 20;
-/// Milliseconds that the calling back end takes before it makes its call.
+/// Time in milliseconds that the calling back end works before it makes its call.
 const DESK_WORK: u64 = 20;
-/// Requests that it works on at once.
+/// Number of slots of the calling back end.
 const DESK_SLOTS: u32 = 4;
 
 /// A back end of the called service.
@@ -36,11 +36,11 @@
 pub struct Called {
     pub host: u8,
     pub slots: u32,
-    /// Milliseconds that it takes for a call.
+    /// Service time of a call in milliseconds.
     pub work: u64,
 }
 
-/// What became of one request.
+/// Outcome of one request.
 #[derive(Debug)]
 pub struct Outcome {
     pub id: String,
@@ -48,16 +48,16 @@
     pub taken: Duration,
 }
 
-/// The nodes.
+/// The nodes of both services.
 #[derive(Clone)]
 pub struct Chain {
     pub network: SimNetwork,
     pub recorder: Arc<MemoryRecorder>,
     telemetry: Telemetry,
     desk: Arc<Mutex<Option<Arc<Outbound>>>>,
-    /// Requests that have arrived at the calling back end.
+    /// Identities of the requests that the calling back end received.
     runs: Arc<Mutex<BTreeSet<String>>>,
-    /// Calls that have arrived at the called service.
+    /// Calls that the called service received.
     calls: Arc<Mutex<Vec<RequestHead>>>,
 }
 
@@ -84,20 +84,21 @@
         chain
     }
 
-    /// Starts a back end of the called service, which serves all calls from now on.
+    /// Starts a back end of the called service that serves all calls from now on.
     pub async fn replace_called_back_end(&self, called: Called) {
         let (_, endpoint) = self.start_node("ledger", called.host, called.slots, called.work).await;
         let desk = self.desk.lock();
         desk.as_ref().unwrap().set_endpoints(&name::<ServiceName>("ledger"), vec![endpoint]);
     }
 
-    /// Sends so many requests of callers a second for a while, evenly, and tells what became of them.
+    /// Sends `per_second` requests of callers a second at an even rate for the time `lasts`, and returns
+    /// their outcomes.
     pub async fn send(&self, prefix: &str, per_second: u32, lasts: Duration) -> Vec<Outcome> {
-        let mut asking: Vec<JoinHandle<Outcome>> = Vec::new();
+        let mut handles: Vec<JoinHandle<Outcome>> = Vec::new();
         let end = Instant::now() + lasts;
         while Instant::now() < end {
-            let (chain, id) = (self.clone(), format!("{prefix}{}", asking.len()));
-            asking.push(tokio::spawn(async move {
+            let (chain, id) = (self.clone(), format!("{prefix}{}", handles.len()));
+            handles.push(tokio::spawn(async move {
                 let began = Instant::now();
                 let answer = chain.ask("/desk/", &id, DESK).await;
                 Outcome { id, answer, taken: began.elapsed() }
@@ -105,8 +106,8 @@
             sleep(Duration::from_secs(1) / per_second).await;
         }
         let mut outcomes = Vec::new();
-        for asked in asking {
-            outcomes.push(asked.await.unwrap());
+        for handle in handles {
+            outcomes.push(handle.await.unwrap());
         }
         outcomes
     }
@@ -123,7 +124,7 @@
         let at = SocketAddr::new(host(DESK), OUTBOUND_PORT);
         let mut caller = Caller::connect(&self.network.host(host(from)), at).await;
         caller.send(path, id).await;
-        caller.read().await.expect("an answer")
+        caller.read().await.expect("a response")
     }
 
     async fn start_node(&self, of: &'static str, at: u8, slots: u32, work: u64) -> (Arc<Outbound>, Endpoint) {
@@ -188,7 +189,7 @@
         }
     }
 
-    /// A run: it fails if its call does.
+    /// Runs a request, which fails if its call does.
     async fn run(&self, id: &str, work: u64) -> u16 {
         self.runs.lock().insert(id.to_owned());
         sleep(Duration::from_millis(work)).await;
@@ -203,7 +204,8 @@
     }
 }
 
-/// A route to each service. That of the called one names no rank, and that of the other one is not idempotent, so that no run is repeated.
+/// A route to each service. Requests to the calling service are more urgent than its calls, and are not
+/// idempotent, so that no run is repeated.
 fn snapshot(called_time: u64) -> Snapshot {
     let mut snapshot = Snapshot::default();
     for service in [service("desk"), service("ledger")] {
--- a/crates/forwarding/tests/support/fleet.rs
+++ b/crates/forwarding/tests/support/fleet.rs
@@ -1,4 +1,5 @@
-//! Nodes with back ends of two services: the runs of `desk` make calls to `ledger`, whose back ends turn requests away.
+//! Nodes with back ends of two services: the runs of `desk` make calls to `ledger`, whose back ends reject a
+//! share of the requests.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -26,43 +27,44 @@
 use super::caller::Caller;
 use super::{BACK_END_PORT, DIALECT, host, locality, name, route, service};
 
-/// What all nodes together may repeat.
+/// Retry budget that all nodes share.
 pub fn budget() -> RetryBudgetSettings {
     let window = Duration::from_secs(10);
     RetryBudgetSettings { ratio: 0.2, extra: 20.0, window }
 }
 
-/// Requests that a back end works on at once.
+/// Number of slots of each back end.
 const SLOTS: u32 = 12;
-/// Nodes beside back ends of `desk`; those of `ledger` follow.
+/// Number of nodes with back ends of `desk`; those with back ends of `ledger` follow.
 const DESKS: usize = 6;
 const LEDGERS: usize = 4;
-/// What the runs at `desk` call.
+/// Calls that the runs at `desk` make.
 #[derive(Debug, Clone, Copy)]
 pub struct RunLoad {
-    /// Calls of a run, made together; a part of the runs makes none.
+    /// Concurrent calls of each run that makes any.
     pub calls: usize,
-    /// Of ten runs so many make calls.
+    /// Number of runs in ten that make calls.
     pub calling_runs: usize,
 }
 
-/// Few runs with many calls.
+/// Few runs make calls, but many at once.
 const FEW_CALLING_RUNS: RunLoad = RunLoad { calls: 4, calling_runs: 3 };
-/// Time after its start in which a node doesn't know the others.
-const LONELY_TIME: Duration = Duration::from_millis(400);
+/// Time after its start for which a node does not know the number of nodes.
+const UNINFORMED_TIME: Duration = Duration::from_millis(400);
 
-/// What the back ends saw and the callers sent.
+/// What the callers sent and the back ends received.
 #[derive(Debug, Default)]
 pub struct History {
-    /// When a request for `ledger` was sent.
+    /// Times at which requests for `ledger` were sent.
     pub requests: Vec<Instant>,
-    /// When a request arrived at `ledger` beyond the first time, or as a call of a repeated run.
+    /// Times at which requests arrived at `ledger` again after their first arrival, or as calls of a retried
+    /// run.
     pub repeats: Vec<Instant>,
-    /// Of these, the calls of repeated runs.
+    /// Number of these retries that are calls of retried runs.
     pub repeated_calls: usize,
-    /// Answers by status.
+    /// Response counts by status.
     pub statuses: HashMap<u16, usize>,
-    /// Answers by the first part of the path and status.
+    /// Response counts by path and status.
     pub statuses_by_path: HashMap<(String, u16), usize>,
     arrivals: HashMap<String, usize>,
     runs: HashMap<String, usize>,
@@ -71,10 +73,10 @@
 
 struct Shared {
     history: Mutex<History>,
-    /// Of twenty requests the back ends of `ledger` turn so many away.
-    turned_away: AtomicUsize,
+    /// Number of requests in twenty that the back ends of `ledger` reject.
+    rejections_in_twenty: AtomicUsize,
     load: RunLoad,
-    /// Draws what is turned away; absent if every so-manieth request is.
+    /// Random generator that selects the rejected requests; `None` to reject them at regular intervals.
     random: Option<Mutex<SmallRng>>,
 }
 
@@ -83,7 +85,7 @@
     at: SocketAddr,
     endpoint: Endpoint,
     inbound: Arc<Inbound>,
-    lives: u16,
+    generation: u16,
 }
 
 /// Nodes of two services.
@@ -100,7 +102,7 @@
         Self::with(FEW_CALLING_RUNS, None).await
     }
 
-    /// As [`Fleet::start`], with other runs, and with requests turned away at random.
+    /// As [`Fleet::start`], with other runs and with randomly selected rejections.
     pub async fn with_runs(load: RunLoad, seed: u64) -> Self {
         Self::with(load, Some(Mutex::new(SmallRng::seed_from_u64(seed)))).await
     }
@@ -111,7 +113,7 @@
             nodes: Arc::default(),
             shared: Arc::new(Shared {
                 history: Mutex::default(),
-                turned_away: AtomicUsize::new(0),
+                rejections_in_twenty: AtomicUsize::new(0),
                 load,
                 random,
             }),
@@ -123,7 +125,7 @@
             fleet.nodes.lock().push(node);
         }
         fleet.publish_endpoints();
-        fleet.tell_count();
+        fleet.publish_node_count();
         fleet
     }
 
@@ -131,33 +133,34 @@
         DESKS + LEDGERS
     }
 
-    /// Of twenty requests the back ends of `ledger` turn `count` away from now on.
+    /// Sets the number of requests in twenty that the back ends of `ledger` reject.
     pub fn turn_away(&self, count: usize) {
-        self.shared.turned_away.store(count, Ordering::Relaxed);
+        self.shared.rejections_in_twenty.store(count, Ordering::Relaxed);
     }
 
     pub fn history<T>(&self, look: impl FnOnce(&History) -> T) -> T {
         look(&self.shared.history.lock())
     }
 
-    /// Ends the process of a node and starts it again: it forgets everything, and for a moment knows no other node.
+    /// Restarts the process of a node: it loses its state, and for a short time does not know the number of
+    /// nodes.
     pub async fn restart(&self, number: usize) {
-        let lives = {
+        let generation = {
             let nodes = self.nodes.lock();
             nodes[number].inbound.close();
-            nodes[number].lives + 1
+            nodes[number].generation + 1
         };
-        let node = self.start_node(number, lives).await;
+        let node = self.start_node(number, generation).await;
         self.nodes.lock()[number] = node;
         self.publish_endpoints();
         let fleet = self.clone();
         tokio::spawn(async move {
-            sleep(LONELY_TIME).await;
-            fleet.tell_count();
+            sleep(UNINFORMED_TIME).await;
+            fleet.publish_node_count();
         });
     }
 
-    /// Sends requests at an even pace until `end`, each to the next node.
+    /// Sends requests at an even rate until `end`, to each node in turn.
     pub async fn send_until(&self, path: &'static str, per_second: u32, end: Instant) {
         let mut next = Instant::now();
         let mut number = 0;
@@ -185,7 +188,7 @@
         let at = self.nodes.lock()[node].at;
         let mut caller = Caller::connect(&self.network.host(host(address_of(node))), at).await;
         caller.send(path, id).await;
-        caller.read().await.map_or(0, |answer| answer.status)
+        caller.read().await.map_or(0, |response| response.status)
     }
 
     fn publish_endpoints(&self) {
@@ -199,13 +202,13 @@
         }
     }
 
-    fn tell_count(&self) {
+    fn publish_node_count(&self) {
         for node in &*self.nodes.lock() {
             node.outbound.set_sharing_nodes(self.count());
         }
     }
 
-    async fn start_node(&self, number: usize, lives: u16) -> Node {
+    async fn start_node(&self, number: usize, generation: u16) -> Node {
         let network = self.network.host(host(address_of(number)));
         let inbound = Arc::new(Inbound::new(
             DIALECT,
@@ -217,7 +220,7 @@
             node: name(&format!("node-{number}")),
             locality: locality(),
             caller: name(service_of(number)),
-            seed: number as u64 * 100 + u64::from(lives),
+            seed: number as u64 * 100 + u64::from(generation),
         };
         let settings = OutboundSettings { retry_budget: budget(), ..OutboundSettings::default() };
         let outbound = Outbound::new(
@@ -237,8 +240,8 @@
             slots: SLOTS,
         };
         inbound.open(back_end);
-        let inbound_at = SocketAddr::new(host(address_of(number)), 200 + 2 * lives);
-        let at = SocketAddr::new(host(address_of(number)), 201 + 2 * lives);
+        let inbound_at = SocketAddr::new(host(address_of(number)), 200 + 2 * generation);
+        let at = SocketAddr::new(host(address_of(number)), 201 + 2 * generation);
         let listener = network.listen(inbound_at).await.unwrap();
         tokio::spawn(serve_inbound(listener, Arc::clone(&inbound), self.telemetry.clone()));
         let listener = network.listen(at).await.unwrap();
@@ -256,7 +259,7 @@
             slots: SLOTS,
             is_cold: false,
         };
-        Node { outbound, at, endpoint, inbound, lives }
+        Node { outbound, at, endpoint, inbound, generation }
     }
 
     async fn serve_back_end(&self, number: usize) {
@@ -277,17 +280,17 @@
         let limits = ReadLimits { head_bytes: 64 * 1024, head_time: Duration::from_secs(60) };
         while let Ok(Some(head)) = reader.request_head(limits).await {
             let id = head.fields.text("umberpond-request").unwrap_or_default().to_owned();
-            let answer = match service_of(number) {
+            let response = match service_of(number) {
                 "desk" => self.run_at_desk(number, &id).await,
                 _ => self.run_at_ledger(&id).await,
             };
-            if writer.write_all(answer.as_bytes()).await.is_err() {
+            if writer.write_all(response.as_bytes()).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Makes the calls of a run; the run fails if one of them does.
+    /// Makes the calls of a run, which fails if one of them does.
     async fn run_at_desk(&self, number: usize, id: &str) -> String {
         let runs = {
             let mut history = self.shared.history.lock();
@@ -308,14 +311,14 @@
                 fleet.ask("/ledger/check/", &id, number).await
             }));
         }
-        let mut is_whole = true;
+        let mut all_succeeded = true;
         for called in calling {
-            is_whole &= called.await.unwrap() == 200;
+            all_succeeded &= called.await.unwrap() == 200;
         }
-        answer(if is_whole { 200 } else { 500 }, id)
+        response(if all_succeeded { 200 } else { 500 }, id)
     }
 
-    /// Turns a part of the requests away.
+    /// Rejects a share of the requests.
     async fn run_at_ledger(&self, id: &str) -> String {
         let is_rejected = {
             let mut history = self.shared.history.lock();
@@ -327,11 +330,11 @@
                 history.repeats.push(Instant::now());
                 history.repeated_calls += usize::from(is_call_of_repeat);
             }
-            let turned_away = self.shared.turned_away.load(Ordering::Relaxed);
+            let rejections_in_twenty = self.shared.rejections_in_twenty.load(Ordering::Relaxed);
             match &self.shared.random {
-                Some(random) => random.lock().random_range(0..20) < turned_away,
+                Some(random) => random.lock().random_range(0..20) < rejections_in_twenty,
                 None => {
-                    history.rejections += turned_away;
+                    history.rejections += rejections_in_twenty;
                     let is_rejected = history.rejections >= 20;
                     history.rejections %= 20;
                     is_rejected
@@ -342,13 +345,14 @@
             return "HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n".to_owned();
         }
         sleep(Duration::from_millis(15)).await;
-        answer(200, id)
+        response(200, id)
     }
 }
 
 impl History {
-    /// The window with the most repeats beyond what is allowed, as repeats, requests and what is allowed. The requests are those of the
-    /// window, of the one before it or of the one half a window before it, whichever are most.
+    /// Finds the window with the most retries above the allowed number. Returns its retries, requests and
+    /// allowed retries. The requests are those of the window, of the one before it or of the one half a
+    /// window earlier, whichever are most.
     pub fn worst_window(&self, budget: &RetryBudgetSettings) -> (usize, usize, f64) {
         let count = |times: &[Instant], from: Instant| {
             times.iter().filter(|at| **at >= from && **at < from + budget.window).count()
@@ -375,7 +379,7 @@
     10 + u8::try_from(number).unwrap()
 }
 
-fn answer(status: u16, id: &str) -> String {
+fn response(status: u16, id: &str) -> String {
     format!("HTTP/1.1 {status} Said\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 2\r\n\r\nok")
 }
 
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -1,6 +1,6 @@
-//! A node of callers, some nodes with scripted back ends, and a caller, over a virtual network.
+//! A node of callers, nodes with scripted back ends, and a caller, on a virtual network.
 
-#![allow(dead_code, reason = "not every test uses every part")]
+#![allow(dead_code, reason = "each test crate uses only a part of the module")]
 
 pub mod back_end;
 pub mod caller;
@@ -28,7 +28,7 @@
 use back_end::{Script, ScriptedBackEnd};
 use caller::Caller;
 
-/// Names like those of a platform with signatures.
+/// Header names like those of a platform with signatures.
 pub const DIALECT: HeaderProfile = HeaderProfile {
     request_id: "umberpond-request",
     call_separator: Some(b'.'),
@@ -55,14 +55,14 @@
     IpAddr::from([10, 0, 0, number])
 }
 
-/// A budget that allows every repeat.
+/// A retry budget that allows every retry.
 const AMPLE_BUDGET: RetryBudgetSettings =
     RetryBudgetSettings { ratio: 100.0, extra: 0.0, window: Duration::from_secs(10) };
 const CALLERS: u8 = 1;
 const INBOUND_PORT: u16 = 100;
 const OUTBOUND_PORT: u16 = 101;
 pub const BACK_END_PORT: u16 = 102;
-/// Requests that a scripted back end works on at once.
+/// Number of slots of a scripted back end.
 pub const SLOTS: u32 = 2;
 
 /// One node with its back end.
@@ -84,7 +84,7 @@
     link_rate: Option<f64>,
 }
 
-/// The routes of every test: two of the host `x.example` to `archive`.
+/// The routes of every test: two from the host `x.example` to `archive`.
 pub fn snapshot() -> Snapshot {
     let mut snapshot = Snapshot {
         limits: RequestLimits { head_bytes: 4096, body_bytes: 600_000, ..RequestLimits::default() },
@@ -132,19 +132,20 @@
 }
 
 impl World {
-    /// One node of callers and a node for each script.
+    /// Starts a node of callers and a node for each script.
     pub async fn new(scripts: Vec<Script>) -> Self {
         Self::on_links(scripts, None, AMPLE_BUDGET).await
     }
 
-    /// As [`World::with_routes`], with a retry budget of its own.
+    /// As [`World::with_routes`], with the given retry budget.
     pub async fn with_budget(scripts: Vec<Script>, budget: RetryBudgetSettings) -> Self {
         let world = Self::on_links(scripts, None, budget).await;
         world.activate(1, &snapshot());
         world
     }
 
-    /// As [`World::with_routes`], with nodes that know their links to bear `rate` bytes a second.
+    /// As [`World::with_routes`], with nodes that are configured with a link bandwidth of `rate` bytes per
+    /// second.
     pub async fn with_link(scripts: Vec<Script>, rate: f64) -> Self {
         let world = Self::on_links(scripts, Some(rate), AMPLE_BUDGET).await;
         world.activate(1, &snapshot());
@@ -191,7 +192,7 @@
         world
     }
 
-    /// As [`World::new`], with the routes of [`snapshot`] in force.
+    /// As [`World::new`], with the routes of [`snapshot`] active.
     pub async fn with_routes(scripts: Vec<Script>) -> Self {
         let world = Self::new(scripts).await;
         world.activate(1, &snapshot());
@@ -234,18 +235,18 @@
         self.served.push(Served { inbound, back_end, endpoint });
     }
 
-    /// Tells the callers' node all endpoints.
+    /// Sends all endpoints to the callers' node.
     pub fn publish_endpoints(&self) {
         let endpoints = self.served.iter().map(|served| served.endpoint.clone()).collect();
         self.outbound.set_endpoints(&name::<ServiceName>("archive"), endpoints);
     }
 
-    /// A connection of a caller.
+    /// Opens a connection of a caller.
     pub async fn caller(&self) -> Caller {
         Caller::connect(&self.callers, SocketAddr::new(host(CALLERS), OUTBOUND_PORT)).await
     }
 
-    /// Requests that have arrived at any back end.
+    /// Number of requests that all back ends received.
     pub fn arrivals(&self) -> usize {
         self.served.iter().map(|served| served.back_end.seen().len()).sum()
     }
