--- a/crates/forwarding/src/retries/open_runs.rs
+++ b/crates/forwarding/src/retries/active_runs.rs
@@ -1,4 +1,4 @@
-//! The runs at the back end beside this node, by which the calls that they make are known.
+//! Tracks the runs at the local back end, so that their calls can be recognized.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -12,25 +12,25 @@
 use umberpond_selection::OtherCalls;
 
 use super::call_rates::RunCalls;
-use super::followed_calls::{CallState, FollowedCalls};
+use super::tracked_calls::{CallState, TrackedCalls};
 use crate::message::Attempt;
 
-/// Time between two looks for runs that are long over.
+/// Shortest time between two sweeps that remove expired runs.
 const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Where a request that reaches this node's outbound half comes from.
+/// Origin of a request that reaches this node's outbound proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum CallOrigin {
-    /// No run at the back end beside this node is known to have made it.
+    /// Not made by a known run at the local back end.
     Outside,
-    /// A call of the first run of a request.
+    /// Call made by the first run of a request.
     FirstRun,
-    /// A call of a run that was a repeat.
+    /// Call made by a retried run.
     RetriedRun,
 }
 
 impl CallOrigin {
-    /// The origin as one word, for logs.
+    /// Name of the origin in logs.
     pub(crate) const fn as_str(self) -> &'static str {
         match self {
             Self::Outside => "outside",
@@ -40,20 +40,20 @@
     }
 }
 
-/// What a call inherits from the run that makes it.
+/// Properties that a call inherits from the run that makes it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RunContext {
-    /// Its rank among the requests for its back end.
+    /// Priority of the run among the requests for its back end.
     pub(crate) priority: u8,
-    /// Level that its calls take over.
+    /// Call level that its calls inherit.
     pub(crate) level: CallLevel,
-    /// Tenant on whose behalf it runs; absent if it is of none.
+    /// Tenant on whose behalf it runs, if any.
     pub(crate) tenant: Option<TenantId>,
-    /// End of the time within which its answer is of any use.
+    /// Time after which its response is useless.
     pub(crate) deadline: Instant,
 }
 
-/// Where a request comes from, and the run that has made it, if one is known.
+/// Origin of a request, and the run that has made it, if known.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct RequestSource {
     pub(crate) origin: CallOrigin,
@@ -71,10 +71,10 @@
     /// Hash of the name of its route.
     route: u32,
     calls: RunCalls,
-    /// How its calls stand.
-    followed: FollowedCalls,
-    /// When a run whose answer did not come is over at the latest.
-    over_at: Option<Instant>,
+    /// States of its calls.
+    tracked_calls: TrackedCalls,
+    /// Time at which a run whose response was not received is considered over.
+    expires_at: Option<Instant>,
 }
 
 #[derive(Debug, Default)]
@@ -83,27 +83,27 @@
     swept_at: Option<Instant>,
 }
 
-/// The runs at the back end beside this node.
+/// The runs at the local back end.
 #[derive(Debug)]
 pub(crate) struct ActiveRuns {
-    /// What stands between the identity of a request and the rest of that of a call.
+    /// Byte that separates the request ID of a run from the rest of the ID of its call.
     separator: Option<u8>,
     state: Mutex<State>,
 }
 
 impl ActiveRuns {
-    /// Without runs; `separator` as in [`crate::HeaderProfile::call_separator`].
+    /// Creates a tracker without runs; for `separator` see [`crate::HeaderProfile::call_separator`].
     pub(crate) fn new(separator: Option<u8>) -> Self {
         Self { separator, state: Mutex::default() }
     }
 
-    /// Takes in that the back end is handed a request.
-    pub(crate) fn begin(self: &Arc<Self>, attempt: &Attempt) -> OpenRun {
+    /// Registers a request that is passed to the back end.
+    pub(crate) fn begin(self: &Arc<Self>, attempt: &Attempt) -> ActiveRun {
         let now = Instant::now();
         let mut state = self.state.lock();
         if state.swept_at.is_none_or(|at| now.saturating_duration_since(at) >= SWEEP_INTERVAL) {
             state.swept_at = Some(now);
-            state.runs.retain(|_id, run| run.over_at.is_none_or(|at| at > now));
+            state.runs.retain(|_id, run| run.expires_at.is_none_or(|at| at > now));
         }
         let Attempt { id, is_repeat, route, deadline, .. } = attempt;
         let context = RunContext {
@@ -117,17 +117,17 @@
             is_repeat: *is_repeat,
             route: *route,
             calls: RunCalls::new(),
-            followed: FollowedCalls::default(),
-            over_at: None,
+            tracked_calls: TrackedCalls::default(),
+            expires_at: None,
         };
         state.runs.insert(id.clone(), run);
-        OpenRun { runs: Arc::clone(self), id: id.clone(), deadline: *deadline }
+        ActiveRun { runs: Arc::clone(self), id: id.clone(), deadline: *deadline }
     }
 
-    /// Takes in that the request called `id` goes to `service`, and tells where it comes from.
+    /// Counts the request `id` for `service`, and returns its origin.
     pub(crate) fn on_request(&self, id: &[u8], service: &ServiceName) -> RequestSource {
         let mut state = self.state.lock();
-        let Some(end) = self.end_of_run(&state, id) else { return RequestSource::OUTSIDE };
+        let Some(end) = self.run_id_length(&state, id) else { return RequestSource::OUTSIDE };
         let Some(run) = state.runs.get_mut(&id[..end]) else { return RequestSource::OUTSIDE };
         match run.calls.iter_mut().find(|(called, _)| called == service) {
             Some((_, count)) => *count += 1,
@@ -137,16 +137,17 @@
         RequestSource { origin, run: Some(run.context.clone()) }
     }
 
-    /// Follows the call named `id` until it ends; absent if it is none of a run at the back end.
+    /// Tracks the call `id` until the guard is dropped. Returns `None` if no known run has made it.
     pub(crate) fn follow(self: &Arc<Self>, id: &Bytes) -> Option<TrackedCall> {
         let mut state = self.state.lock();
-        let end = self.end_of_run(&state, id)?;
-        state.runs.get_mut(&id[..end])?.followed.begin(id);
+        let end = self.run_id_length(&state, id)?;
+        state.runs.get_mut(&id[..end])?.tracked_calls.begin(id);
         Some(TrackedCall { runs: Arc::clone(self), run: id.slice(..end), call: id.clone() })
     }
 
-    /// Where in the identity of a call that of its run ends; absent if no run is known to have made it.
-    fn end_of_run(&self, state: &State, id: &[u8]) -> Option<usize> {
+    /// Length of the prefix of the ID of a call that is the ID of its run; `None` if no known run has made
+    /// it.
+    fn run_id_length(&self, state: &State, id: &[u8]) -> Option<usize> {
         let separator = self.separator?;
         let mut ends = (1..id.len()).rev().filter(|at| id[*at] == separator);
         ends.find(|end| state.runs.contains_key(&id[..*end]))
@@ -154,34 +155,35 @@
 
     fn set_call(&self, run: &[u8], call: &[u8], call_state: CallState) {
         if let Some(run) = self.state.lock().runs.get_mut(run) {
-            run.followed.set(call, call_state);
+            run.tracked_calls.set(call, call_state);
         }
     }
 
     fn other_calls(&self, run: &[u8], call: &[u8]) -> OtherCalls {
         let state = self.state.lock();
-        state.runs.get(run).map(|run| run.followed.others(call)).unwrap_or_default()
+        state.runs.get(run).map(|run| run.tracked_calls.others(call)).unwrap_or_default()
     }
 
-    /// Repeated runs of `route` at the back end.
+    /// Number of retried runs of `route` at the back end.
     pub(crate) fn retried_runs(&self, route: u32) -> u32 {
         let state = self.state.lock();
         let is_counted = |run: &&Run| run.is_repeat && run.route == route;
         u32::try_from(state.runs.values().filter(is_counted).count()).unwrap_or(u32::MAX)
     }
 
-    fn answered(&self, id: &[u8]) -> RunCalls {
+    fn end_run(&self, id: &[u8]) -> RunCalls {
         self.state.lock().runs.remove(id).map(|run| run.calls).unwrap_or_default()
     }
 
-    fn abandoned(&self, id: &[u8], over_at: Instant) {
+    fn expire_at(&self, id: &[u8], expires_at: Instant) {
         if let Some(run) = self.state.lock().runs.get_mut(id) {
-            run.over_at = Some(over_at);
+            run.expires_at = Some(expires_at);
         }
     }
 }
 
-/// A call of a run at the back end. It counts as lost when it is dropped before its end: whoever made it awaits no answer.
+/// Guard of a tracked call of a run at the back end. A call dropped before it has completed counts as lost:
+/// the run no longer waits for its response.
 #[derive(Debug)]
 pub(crate) struct TrackedCall {
     runs: Arc<ActiveRuns>,
@@ -190,19 +192,19 @@
 }
 
 impl TrackedCall {
-    /// Takes in that a back end has turned the call away.
+    /// Records that a back end has rejected the call.
     pub(crate) fn on_rejected(&self) {
         self.runs.set_call(&self.run, &self.call, CallState::Rejected);
     }
 
-    /// How the other calls of its run stand.
+    /// States of the other calls of its run.
     pub(crate) fn others(&self) -> OtherCalls {
         self.runs.other_calls(&self.run, &self.call)
     }
 
-    /// Takes in that the call was answered with success.
+    /// Records that the call has completed successfully.
     pub(crate) fn on_answered(self) {
-        self.runs.set_call(&self.run, &self.call, CallState::Answered);
+        self.runs.set_call(&self.run, &self.call, CallState::Completed);
     }
 }
 
@@ -212,24 +214,24 @@
     }
 }
 
-/// One run at the back end. Unless it is known to have ended it counts until its deadline after this is dropped: a back end may go on
-/// with a request whose answer nobody awaits, and make calls.
+/// Guard of one run at the back end. If it is dropped without [`ActiveRun::end`], the run counts until its
+/// deadline: a back end may go on processing a request whose response nobody waits for, and make calls.
 #[derive(Debug)]
-pub(crate) struct OpenRun {
+pub(crate) struct ActiveRun {
     runs: Arc<ActiveRuns>,
     id: Bytes,
     deadline: Instant,
 }
 
-impl OpenRun {
-    /// Takes in that the back end is done with the request; tells the calls that the run has made.
+impl ActiveRun {
+    /// Records that the back end has completed the request, and returns the calls that the run has made.
     pub(crate) fn end(self) -> RunCalls {
-        self.runs.answered(&self.id)
+        self.runs.end_run(&self.id)
     }
 }
 
-impl Drop for OpenRun {
+impl Drop for ActiveRun {
     fn drop(&mut self) {
-        self.runs.abandoned(&self.id, self.deadline);
+        self.runs.expire_at(&self.id, self.deadline);
     }
 }
--- a/crates/forwarding/src/retries/call_rates.rs
+++ b/crates/forwarding/src/retries/call_rates.rs
@@ -1,24 +1,24 @@
-//! How many calls the runs of each route make, learnt from those that have ended.
+//! Moving averages of the calls that the runs of each route make, learned from runs that have ended.
 
 use std::collections::BTreeMap;
 
 use umberpond_model::ServiceName;
 
-/// Weight of the run that ended last in the mean.
+/// Weight of the latest run in the moving average.
 const LAST_WEIGHT: f64 = 0.1;
 
-/// Calls of a run by the service that they were for. A run calls a few services at most.
+/// Number of calls of a run by called service. A run calls only a few services.
 pub(crate) type RunCalls = Vec<(ServiceName, u32)>;
 
-/// Calls by the runs of each route that make any, in the mean.
+/// Mean number of calls per run by route and called service, over the runs that call the service.
 #[derive(Debug, Default)]
 pub(crate) struct CallRates {
     by_route: BTreeMap<u32, BTreeMap<ServiceName, f64>>,
 }
 
 impl CallRates {
-    /// Takes in the calls of a run that has ended. Runs without calls are left out: a run is repeated mostly because a call failed, so what a
-    /// repeated run is going to make is what a calling run makes.
+    /// Records the calls of a run that has ended. Runs without calls are left out: a run is mostly retried
+    /// because a call failed, so a retried run is expected to make as many calls as a run that makes any.
     pub(crate) fn record(&mut self, route: u32, calls: &RunCalls) {
         if calls.is_empty() {
             return;
@@ -31,7 +31,7 @@
         }
     }
 
-    /// The services that runs of `route` call, with the calls of a run.
+    /// The services that runs of `route` call, with the mean number of calls of the runs that call them.
     pub(crate) fn of_route(&self, route: u32) -> impl Iterator<Item = (&ServiceName, f64)> {
         self.by_route.get(&route).into_iter().flatten().map(|(service, rate)| (service, *rate))
     }
--- a/crates/forwarding/src/retries/mod.rs
+++ b/crates/forwarding/src/retries/mod.rs
@@ -1,16 +1,18 @@
-//! What a node sends again: the retry budget of each service, and which calls come from repeated runs.
+//! Retries of requests: the retry budget of each service, and the detection of calls made by retried runs.
 //!
-//! A second run of a request makes its calls again, so each repeat is paid for wherever it arrives: by the node that sends a request again, and
-//! by the node beside a back end for the calls of repeated runs there ([`RetryLedger`]). A repeat whose calls nobody could pay for is not begun. As long
-//! as nobody paid for them, such calls were 325 of the 584 repeats that a service received in ten seconds in which answers were lost (event 4027).
+//! A second run of a request makes its calls again, so each retry is charged to a budget wherever it arrives:
+//! the node that resends a request charges it, and the node in front of a back end charges the calls of
+//! retried runs there ([`RetryLedger`]). A retry is not started if no budget covers its calls. While such
+//! calls were charged to no budget, they were 325 of the 584 retries that a service received in ten seconds
+//! during which responses were lost (event 4027).
 
+mod active_runs;
 mod call_rates;
-mod followed_calls;
 mod ledger;
-mod open_runs;
-mod sharing;
+mod sharing_nodes;
 #[cfg(test)]
 mod tests;
+mod tracked_calls;
 
+pub(crate) use active_runs::{ActiveRuns, CallOrigin, RunContext, TrackedCall};
 pub(crate) use ledger::{RetryKind, RetryLedger, RetryPermit, RetryRefusal};
-pub(crate) use open_runs::{ActiveRuns, CallOrigin, RunContext, TrackedCall};
--- a/crates/forwarding/src/retries/tests.rs
+++ b/crates/forwarding/src/retries/tests.rs
@@ -1,4 +1,4 @@
-//! Which calls come from repeated runs, and what is learnt of the runs' calls.
+//! Tests the detection of calls made by retried runs, and the budget accounting of calls.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,7 @@
 use umberpond_selection::{OtherCalls, RetryBudgetSettings, RetryInitiator, RetryPriority};
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
 
-use super::sharing::SharingNodes;
+use super::sharing_nodes::SharingNodes;
 use super::{ActiveRuns, CallOrigin, RetryKind, RetryLedger};
 use crate::message::{Attempt, RequestBody};
 
@@ -60,7 +60,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_is_known_by_the_identity_of_its_run() {
+async fn call_is_attributed_to_its_run_by_request_id() {
     let runs = Arc::new(ActiveRuns::new(Some(b'.')));
     let first = runs.begin(&attempt("one", false));
     let repeat = runs.begin(&attempt("two.call", true));
@@ -71,38 +71,46 @@
         assert_eq!(runs.on_request(other.as_bytes(), &ledger).origin, CallOrigin::Outside, "{other}");
     }
     assert_eq!(first.end(), vec![(ledger.clone(), 1)]);
-    assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::Outside, "the run is over");
+    assert_eq!(runs.on_request(b"one.x", &ledger).origin, CallOrigin::Outside, "the run has ended");
     assert_eq!(runs.retried_runs(ROUTE), 1);
     drop(repeat);
-    assert_eq!(runs.on_request(b"two.call.y", &ledger).origin, CallOrigin::RetriedRun, "it may still run");
+    assert_eq!(
+        runs.on_request(b"two.call.y", &ledger).origin,
+        CallOrigin::RetriedRun,
+        "it may still be running"
+    );
     sleep(Duration::from_secs(3)).await;
     drop(runs.begin(&attempt("three", false)));
-    assert_eq!(runs.on_request(b"two.call.z", &ledger).origin, CallOrigin::Outside, "its deadline is over");
+    assert_eq!(
+        runs.on_request(b"two.call.z", &ledger).origin,
+        CallOrigin::Outside,
+        "its deadline has passed"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeat_begins_only_if_its_calls_can_be_paid_for() {
+async fn retry_starts_only_if_the_budgets_cover_its_calls() {
     let ledger = ledger(0.2);
     let called = service("ledger");
-    assert!(ledger.can_afford_calls(ROUTE, 1), "nothing is known of its calls");
+    assert!(ledger.can_afford_calls(ROUTE, 1), "its calls are unknown");
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
     assert!(!ledger.can_afford_calls(ROUTE, 1));
     for _ in 0..41 {
         ledger.count_request(&called, CallOrigin::FirstRun);
     }
-    assert!(ledger.can_afford_calls(ROUTE, 2), "four calls are earned");
+    assert!(ledger.can_afford_calls(ROUTE, 2), "the requests have earned four calls");
     assert!(!ledger.can_afford_calls(ROUTE, 3));
     assert!(ledger.can_afford_calls(ROUTE + 1, 3), "runs of another route make no calls");
     let grant = ledger.take(&called, RetryKind::RetriedRunCall).unwrap();
     assert!(!ledger.can_afford_calls(ROUTE, 2));
     grant.give_back();
     assert!(ledger.can_afford_calls(ROUTE, 2));
-    drop(ledger.take(&called, RetryKind::SentAgain));
-    assert!(!ledger.can_afford_calls(ROUTE, 2), "what may have arrived is spent");
+    drop(ledger.take(&called, RetryKind::Resent));
+    assert!(!ledger.can_afford_calls(ROUTE, 2), "a retry that may have arrived counts as spent");
 }
 
 #[tokio::test(start_paused = true)]
-async fn it_is_known_how_the_other_calls_of_a_run_stand() {
+async fn states_of_the_other_calls_of_a_run_are_tracked() {
     let runs = Arc::new(ActiveRuns::new(Some(b'.')));
     let run = runs.begin(&attempt("one", false));
     let follow = |id: &'static str| runs.follow(&Bytes::from_static(id.as_bytes()));
@@ -120,16 +128,16 @@
     assert_eq!(
         first.others(),
         OtherCalls { open: 1, rejected: 0, lost: 0 },
-        "the run goes on without the second"
+        "the run has continued without the second call"
     );
     first.on_answered();
     assert_eq!(third.others(), OtherCalls::default());
     drop(run.end());
-    assert_eq!(third.others(), OtherCalls::default(), "the run is over");
+    assert_eq!(third.others(), OtherCalls::default(), "the run has ended");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_repeat_is_taken_by_what_is_at_stake() {
+async fn retries_are_granted_by_priority() {
     let ledger = ledger(0.2);
     let called = service("ledger");
     for _ in 0..81 {
@@ -139,27 +147,27 @@
     let lacks_two = RetryInitiator::Run(OtherCalls { open: 0, rejected: 1, lost: 0 });
     let failed = RetryInitiator::Run(OtherCalls { open: 0, rejected: 0, lost: 1 });
     ledger.record_calls(ROUTE, &vec![(called.clone(), 2)]);
-    assert!(ledger.can_afford_calls(ROUTE, 4), "nothing is kept while nobody asks");
-    // Eight are saved.
+    assert!(ledger.can_afford_calls(ROUTE, 4), "nothing is reserved without demand");
+    // Eight retries are saved.
     drop(ledger.take_for(&called, lacks_one).unwrap());
     assert!(ledger.can_afford_calls(ROUTE, 1));
-    assert!(!ledger.can_afford_calls(ROUTE, 2), "six are kept");
+    assert!(!ledger.can_afford_calls(ROUTE, 2), "six are reserved");
     drop(ledger.take_for(&called, lacks_two).unwrap());
     let refusal = ledger.take_for(&called, failed).unwrap_err();
     assert_eq!((refusal.stake, refusal.saved, refusal.most_saved), (None, 6, 8));
     for _ in 0..2 {
         drop(ledger.take_for(&called, lacks_one).unwrap());
     }
-    // Of four, two are kept for runs that lack one call: a quarter of eight, as three were asked for.
+    // Two of four are reserved for runs that lack one call: a quarter of eight, since three were requested.
     while ledger.take_for(&called, RetryInitiator::Caller { rank: 1 }).is_ok() {}
     let refusal = ledger.take_for(&called, lacks_two).unwrap_err();
-    assert_eq!((refusal.stake, refusal.saved), (Some(RetryPriority::RunInDoubt), 1));
+    assert_eq!((refusal.stake, refusal.saved), (Some(RetryPriority::RunLacksSeveralCalls), 1));
     assert!(ledger.take_for(&called, lacks_one).is_ok());
     assert!(ledger.take_for(&called, lacks_one).is_err(), "the last one is spent");
 }
 
 #[tokio::test(start_paused = true)]
-async fn calls_of_repeated_runs_earn_nothing() {
+async fn calls_of_retried_runs_earn_no_retries() {
     let ledger = ledger(1.0);
     let called = service("ledger");
     for _ in 0..100 {
@@ -169,7 +177,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_that_is_gone_keeps_its_part_of_the_extra_for_a_window() {
+async fn removed_node_keeps_its_part_of_the_extra_for_one_window() {
     let sharing = SharingNodes::new(WINDOW);
     assert_eq!(sharing.get(), None);
     sharing.set(3);
--- a/crates/forwarding/src/retries/followed_calls.rs
+++ b/crates/forwarding/src/retries/tracked_calls.rs
@@ -1,32 +1,33 @@
-//! How the calls of one run stand, as far as a repeat of one depends on the others.
+//! Tracks the states of the calls of one run, since the value of retrying one call depends on the others.
 
 use bytes::Bytes;
 use umberpond_selection::OtherCalls;
 
-/// Most calls of one run that are followed; what becomes of further ones decides nothing.
+/// Maximum number of tracked calls per run; further ones are ignored.
 const MAX_CALLS: usize = 64;
 
-/// How a call stands.
+/// State of a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum CallState {
-    /// On its way or at a back end.
+    /// In transit or at a back end.
     Open,
-    /// Turned away by a back end, without an answer so far.
+    /// Rejected by a back end, and without a response so far.
     Rejected,
-    /// Answered with success.
-    Answered,
+    /// Completed successfully.
+    Completed,
     /// Failed or refused.
     Lost,
 }
 
-/// The calls of one run.
+/// The tracked calls of one run.
 #[derive(Debug, Default)]
-pub(super) struct FollowedCalls {
+pub(super) struct TrackedCalls {
     calls: Vec<(Bytes, CallState)>,
 }
 
-impl FollowedCalls {
-    /// Takes in a call that begins. The run goes on without those that it had lost before, so these decide nothing any more.
+impl TrackedCalls {
+    /// Adds a call that begins. Lost calls are dropped: the run has gone on without them, so they have no
+    /// more effect.
     pub(super) fn begin(&mut self, id: &Bytes) {
         self.calls.retain(|(call, state)| *state != CallState::Lost && call != id);
         if self.calls.len() < MAX_CALLS {
@@ -34,22 +35,24 @@
         }
     }
 
-    /// Sets how a call stands. One that was answered stays so.
+    /// Sets the state of a call, unless it has completed successfully.
     pub(super) fn set(&mut self, id: &[u8], state: CallState) {
         let mut calls = self.calls.iter_mut();
-        if let Some((_, held)) = calls.find(|(call, held)| call == id && *held != CallState::Answered) {
-            *held = state;
+        if let Some((_, current)) =
+            calls.find(|(call, current)| call == id && *current != CallState::Completed)
+        {
+            *current = state;
         }
     }
 
-    /// How the calls other than `id` stand.
+    /// Counts the states of all calls except `id`.
     pub(super) fn others(&self, id: &[u8]) -> OtherCalls {
         let mut others = OtherCalls::default();
         for (_, state) in self.calls.iter().filter(|(call, _)| call != id) {
             match state {
                 CallState::Open => others.open += 1,
                 CallState::Rejected => others.rejected += 1,
-                CallState::Answered => {}
+                CallState::Completed => {}
                 CallState::Lost => others.lost += 1,
             }
         }
--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -1,4 +1,4 @@
-//! What is asked of the selector, and what it answers.
+//! Input and result of the endpoint selection.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,38 +7,38 @@
 
 use crate::releases::ReleaseGroup;
 
-/// What is known of a request when its endpoint is chosen.
+/// Properties of a request that determine its endpoint.
 #[derive(Debug, Clone, Copy)]
 pub struct Query<'a> {
     /// Route of the request.
     pub route: &'a RouteName,
-    /// Nodes to which the request was sent before.
+    /// Nodes that the request was already sent to.
     pub tried: &'a [NodeName],
-    /// Releases to which the request was dealt.
+    /// Releases that the request is assigned to.
     pub group: ReleaseGroup,
-    /// Time within which an answer is of full use.
+    /// Time within which a response is fully useful.
     pub objective: Duration,
-    /// Where the request may be served.
+    /// Regions in which the request may be served.
     pub homes: &'a HomeRegions,
 }
 
-/// The endpoint chosen.
+/// The selected endpoint.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Choice {
-    /// Node beside the back end.
+    /// Node in front of the back end.
     pub node: NodeName,
-    /// Address at which that node takes requests.
+    /// Address at which that node accepts requests.
     pub address: SocketAddr,
-    /// Whether a slot is free there, by what is known of it.
+    /// Whether a slot is free there, as far as this node knows.
     pub has_free_slot: bool,
-    /// Whether it is in the own zone.
+    /// Whether the endpoint is in this node's zone.
     pub is_near: bool,
-    /// The life of the back end that is meant.
+    /// Identity of the back-end process that the request is meant for.
     pub instance: String,
-    /// Expected time in the back end at its usual speed.
+    /// Expected service time in the back end at its usual speed.
     pub service: Duration,
-    /// Expected time waiting for a slot, at its present speed.
+    /// Expected time in the queue for a slot, at the current speed.
     pub wait: Duration,
-    /// Expected time from now to the answer, at its present speed.
+    /// Expected time until the response, at the current speed.
     pub total: Duration,
 }
--- a/crates/selection/src/endpoint.rs
+++ b/crates/selection/src/endpoint.rs
@@ -1,4 +1,4 @@
-//! One back end as a caller's node sees it.
+//! Describes one back end and tracks what the calling node knows about it.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -6,57 +6,57 @@
 use umberpond_model::{Locality, NodeName, ReleaseName};
 use umberpond_scheduling::{LoadReport, Slowdown};
 
-/// Weight of one new latency sample.
+/// Weight of a new latency sample in the moving average.
 const LATENCY_WEIGHT: f64 = 0.1;
-/// Time after which a failure is half forgotten.
+/// Half-life of the weight of a failure.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
-/// How long an endpoint is left out after a connection to its node was refused.
-const UNREACHABLE_TIME: Duration = Duration::from_millis(500);
+/// How long an endpoint is excluded after a connection to its node was refused.
+const UNREACHABLE_BACKOFF: Duration = Duration::from_millis(500);
 
-/// A back end that takes new work.
+/// A back end that accepts new requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Endpoint {
-    /// Node beside the back end.
+    /// Node in front of the back end.
     pub node: NodeName,
-    /// Address at which that node takes requests for it.
+    /// Address at which that node accepts requests for the back end.
     pub address: SocketAddr,
-    /// Where it runs.
+    /// Region and zone in which it runs.
     pub locality: Locality,
-    /// Identity of the back end's present life.
+    /// Identity of the current back-end process.
     pub instance: String,
-    /// Version of its software, if it is known.
+    /// Software version of the back end, if known.
     pub release: Option<ReleaseName>,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is slow because it has just started.
+    /// Whether it is slow because it has just started (cold start).
     pub is_cold: bool,
 }
 
-/// What came of one request sent to an endpoint.
+/// Outcome of one request sent to an endpoint.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Observation {
-    /// It was answered; with the load told in the answer.
+    /// The endpoint sent a response, with this load report.
     Answered(LoadReport),
-    /// It was refused without having run; with the load told.
+    /// The request was refused without having run, with this load report.
     Refused(LoadReport),
     /// The node could not be reached.
     Unreachable,
-    /// The answer was lost, spoiled or late.
+    /// The response was lost, invalid or late.
     Failed,
-    /// Nothing was learnt: the caller left.
+    /// The caller disconnected, so the outcome is unknown.
     Abandoned,
 }
 
-/// What is known of one endpoint.
+/// State tracked per endpoint.
 #[derive(Debug, Clone)]
-pub(crate) struct Tracked {
+pub(crate) struct EndpointState {
     pub(crate) endpoint: Endpoint,
-    /// Requests of this node that it holds.
+    /// Requests sent by this node that have not ended.
     outstanding: u32,
     report: Option<LoadReport>,
-    /// How long work takes there, by the last report that told it.
+    /// Slowdown of the back end by the last report that included it.
     slowdown: Slowdown,
-    /// Requests sent since the report was received, less those ended since.
+    /// Requests sent since the last report, minus those that ended since.
     since_report: i64,
     failures: f64,
     failures_at: Option<Instant>,
@@ -64,7 +64,7 @@
     overhead_micros: f64,
 }
 
-impl Tracked {
+impl EndpointState {
     pub(crate) fn new(endpoint: Endpoint) -> Self {
         Self {
             endpoint,
@@ -79,7 +79,8 @@
         }
     }
 
-    /// Takes in a newer description. What was learnt of another life of the back end is dropped; tells whether.
+    /// Replaces the description of the endpoint. If its back-end process was replaced, drops the state of the
+    /// old process and returns `true`.
     pub(crate) fn update(&mut self, endpoint: Endpoint) -> bool {
         if endpoint.instance != self.endpoint.instance {
             *self = Self { outstanding: self.outstanding, ..Self::new(endpoint) };
@@ -103,16 +104,17 @@
                 self.unreachable_until = None;
             }
             Observation::Refused(report) => self.on_report(Some(now), report),
-            Observation::Unreachable => self.unreachable_until = Some(now + UNREACHABLE_TIME),
+            Observation::Unreachable => self.unreachable_until = Some(now + UNREACHABLE_BACKOFF),
             Observation::Failed => {
-                self.failures = self.failures_now(now) + 1.0;
+                self.failures = self.decayed_failures(now) + 1.0;
                 self.failures_at = Some(now);
             }
             Observation::Abandoned => {}
         }
     }
 
-    /// Takes in a load report unless it is older than the one held. It has come at `now`, if that is known.
+    /// Applies a load report unless a report at least as new is held. `now` is the time of arrival if the
+    /// report is fresh; a report of unknown age has none.
     pub(crate) fn on_report(&mut self, now: Option<Instant>, report: LoadReport) {
         if self.report.is_some_and(|held| held.number >= report.number) {
             return;
@@ -121,12 +123,12 @@
         self.since_report = 0;
         self.slowdown = Slowdown::default();
         if let Some(now) = now {
-            // A report without it, or with one that can't be, leaves none.
+            // A report without a valid slowdown leaves it unset.
             let _ = self.slowdown.on_word(now, report.slowdown_percent);
         }
     }
 
-    /// Takes in the time that a request spent outside the back end and its queue.
+    /// Records the time that a request spent outside the back end and its queue.
     pub(crate) fn on_overhead(&mut self, overhead: Duration) {
         let micros = overhead.as_secs_f64() * 1e6;
         let weight = if self.overhead_micros == 0.0 { 1.0 } else { LATENCY_WEIGHT };
@@ -137,8 +139,8 @@
         self.unreachable_until.is_none_or(|until| until <= now)
     }
 
-    /// Failures lately, each counted less with time.
-    pub(crate) fn failures_now(&self, now: Instant) -> f64 {
+    /// Recent failures, with a weight that decreases with age.
+    pub(crate) fn decayed_failures(&self, now: Instant) -> f64 {
         let Some(at) = self.failures_at else { return 0.0 };
         let age = now.saturating_duration_since(at).as_secs_f64() / FAILURE_HALF_LIFE.as_secs_f64();
         self.failures * 0.5_f64.powf(age)
@@ -148,8 +150,8 @@
         self.report.map_or(0.0, |report| f64::from(report.failed_permille) / 1000.0)
     }
 
-    /// Requests that the back end holds, as well as can be known here.
-    pub(crate) fn held(&self) -> f64 {
+    /// Estimated number of requests that the back end holds.
+    pub(crate) fn estimated_load(&self) -> f64 {
         let reported = self.report.map_or(0, |report| i64::from(report.running) + i64::from(report.waiting));
         let known = (reported + self.since_report).max(i64::from(self.outstanding));
         f64::from(u32::try_from(known).unwrap_or(0))
@@ -161,7 +163,7 @@
         f64::from(slots.max(1))
     }
 
-    /// Time that work takes there now as a multiple of the usual one; 1 if that isn't known.
+    /// Current service time as a multiple of the usual one; 1 if unknown.
     pub(crate) fn slowdown_factor(&self, now: Instant) -> f64 {
         self.slowdown.factor(now)
     }
--- a/crates/selection/src/releases.rs
+++ b/crates/selection/src/releases.rs
@@ -1,4 +1,4 @@
-//! Which release of a service's back ends gets a request, while its requests are moved from one release to another.
+//! Assigns requests to releases of a service's back ends during a rollout.
 
 use std::collections::BTreeSet;
 use std::time::{Duration, Instant};
@@ -8,56 +8,59 @@
 
 use crate::endpoint::Endpoint;
 
-/// Thousandths of all requests.
+/// All requests, in thousandths.
 const ALL_PERMILLE: u16 = 1000;
-/// Fewest back ends of the target that get requests while it is tried out: a mean over fewer tells their speed more than
-/// that of the release.
-const FEWEST_CANARIES: usize = 4;
-/// Back ends of the target that get requests while it is tried out, as a multiple of its share of requests. Fewer would show
-/// sooner how it does under load, but a good one of slow back ends would look bad.
+/// Fewest back ends of the target release that get requests during a canary stage: a mean over fewer reflects
+/// their individual speed more than the release.
+const MIN_CANARIES: usize = 4;
+/// Back ends of the target release that get requests during a canary stage, as a multiple of its share of the
+/// requests. Fewer would show its behavior under load sooner, but make a good release look bad if they happen
+/// to be slow back ends.
 const CANARY_FACTOR: f64 = 2.0;
-/// How long a release of which no rollout tells gets no requests while one that was there before can serve them. A rollout is
-/// heard of within some two seconds, and a store that is away for a while is back by then.
-const UNPLANNED_HOLD: Duration = Duration::from_secs(8);
+/// How long a release without a known rollout gets no requests while an established release can serve them. A
+/// rollout is usually received within two seconds, and a store outage is usually over by the end of this
+/// time.
+const UNPLANNED_RELEASE_HOLD: Duration = Duration::from_secs(8);
 
-/// The share of one release in the requests of its service.
+/// A release and its share of the service's requests.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ReleaseShare {
     /// The release.
     pub target: ReleaseName,
-    /// Thousandths of the requests that go to it.
+    /// Share of the requests that go to it, in thousandths.
     pub permille: u16,
 }
 
-/// The back ends that may get one request.
+/// Group of back ends that a request is assigned to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReleaseGroup {
-    /// Those of the release to which requests are being moved.
+    /// Back ends of the release that is being rolled out.
     Target,
-    /// Those of all other releases.
+    /// Back ends of all other releases.
     Others,
 }
 
-/// What is known of the releases of one service.
+/// Release state of one service.
 #[derive(Debug, Default)]
 pub(crate) struct Releases {
     share: Option<ReleaseShare>,
-    /// Part of a request that the target is owed. It starts at random, so that nodes don't all begin with the same one, and
-    /// requests are dealt evenly instead of drawn, so that the shares hold over few requests too.
-    owed: f64,
+    /// Fraction of a request that the target is owed. It starts at a random value, so that nodes don't all
+    /// begin with the same group. Requests are distributed evenly rather than at random, so that the shares
+    /// also hold over few requests.
+    target_credit: f64,
     canaries: BTreeSet<NodeName>,
-    /// Releases that were there before any other, or that a rollout has brought in.
+    /// Releases that were present before any other, or that a rollout has completed.
     established: BTreeSet<ReleaseName>,
-    /// Since when a release that is not established is there.
+    /// Since when a release is present that is not established.
     unplanned_since: Option<Instant>,
 }
 
 impl Releases {
-    /// Sets the share of a release.
+    /// Sets the target release and its share.
     pub(crate) fn set_share(&mut self, share: ReleaseShare, random: &mut impl Rng) {
         let is_same_target = self.share.as_ref().is_some_and(|before| before.target == share.target);
         if !is_same_target {
-            self.owed = random.random();
+            self.target_credit = random.random();
         }
         match share.permille {
             ALL_PERMILLE => self.established = BTreeSet::from([share.target.clone()]),
@@ -69,7 +72,7 @@
         self.share = Some(share);
     }
 
-    /// Takes in which back ends there are.
+    /// Updates established releases and canaries from the current endpoints.
     pub(crate) fn on_endpoints<'a>(
         &mut self,
         now: Instant,
@@ -99,27 +102,28 @@
         let mut ranked: Vec<(u64, &NodeName)> =
             of_target.map(|endpoint| (rank(&endpoint.node), &endpoint.node)).collect();
         ranked.sort_unstable();
-        let wanted = wanted_canaries(share.permille, ranked.len());
+        let wanted = canary_count(share.permille, ranked.len());
         self.canaries = ranked.into_iter().take(wanted).map(|(_, node)| node.clone()).collect();
     }
 
-    /// Deals one request to a release.
-    pub(crate) fn deal(&mut self) -> ReleaseGroup {
+    /// Assigns one request to a group.
+    pub(crate) fn assign(&mut self) -> ReleaseGroup {
         let Some(share) = &self.share else { return ReleaseGroup::Others };
-        self.owed += f64::from(share.permille) / f64::from(ALL_PERMILLE);
-        if self.owed < 1.0 {
+        self.target_credit += f64::from(share.permille) / f64::from(ALL_PERMILLE);
+        if self.target_credit < 1.0 {
             return ReleaseGroup::Others;
         }
-        self.owed -= 1.0;
+        self.target_credit -= 1.0;
         ReleaseGroup::Target
     }
 
-    /// Whether a request dealt to `group` may go to `endpoint`.
+    /// Whether a request assigned to `group` may go to `endpoint`.
     pub(crate) fn allows(&self, now: Instant, group: ReleaseGroup, endpoint: &Endpoint) -> bool {
         let Some(share) = &self.share else { return self.is_established(now, endpoint) };
         let is_target = endpoint.release.as_ref() == Some(&share.target);
         match (share.permille, group) {
-            // Of a process that has just started it may not be known yet, and no other release gets requests.
+            // The release of a process that has just started may not be known yet, and no other release gets
+            // requests.
             (ALL_PERMILLE, _) => is_target || endpoint.release.is_none(),
             (0, _) | (_, ReleaseGroup::Others) => !is_target && endpoint.release.is_some(),
             (_, ReleaseGroup::Target) => is_target && self.canaries.contains(&endpoint.node),
@@ -128,12 +132,12 @@
 
     fn is_established(&self, now: Instant, endpoint: &Endpoint) -> bool {
         let Some(release) = &endpoint.release else { return true };
-        let is_held = |since: Instant| now.saturating_duration_since(since) < UNPLANNED_HOLD;
+        let is_held = |since: Instant| now.saturating_duration_since(since) < UNPLANNED_RELEASE_HOLD;
         self.established.contains(release) || !self.unplanned_since.is_some_and(is_held)
     }
 }
 
-fn wanted_canaries(permille: u16, count: usize) -> usize {
+fn canary_count(permille: u16, count: usize) -> usize {
     if permille >= ALL_PERMILLE {
         return count;
     }
@@ -141,10 +145,10 @@
     let wanted = count as f64 * CANARY_FACTOR * f64::from(permille) / f64::from(ALL_PERMILLE);
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "at most twice the count")]
     let wanted = wanted.ceil() as usize;
-    wanted.max(FEWEST_CANARIES)
+    wanted.max(MIN_CANARIES)
 }
 
-/// Place of a node in an order that is the same on all nodes and follows neither names nor places.
+/// Position of a node in an order that is the same on all nodes and independent of names and locations.
 fn rank(node: &NodeName) -> u64 {
     let mut first = [0; 8];
     first.copy_from_slice(&blake3::hash(node.as_str().as_bytes()).as_bytes()[..8]);
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -1,4 +1,4 @@
-//! All endpoints that a node can call, by service.
+//! Selects an endpoint among those that a node can call, by service.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -9,34 +9,38 @@
 use umberpond_scheduling::LoadReport;
 
 use crate::choice::{Choice, Query};
-use crate::draw::{Candidate, Draw, SamplingSettings};
-use crate::endpoint::{Endpoint, Observation, Tracked};
+use crate::endpoint::{Endpoint, EndpointState, Observation};
 use crate::releases::{ReleaseGroup, ReleaseShare, Releases};
 use crate::route_times::ServiceTimes;
+use crate::sampling::{Candidate, Sampler, SamplingSettings};
 
-/// Assumed service time in seconds while nothing is known of any endpoint.
+/// Service time in seconds that is assumed while no endpoint has reported one.
 const UNKNOWN_SERVICE_SECONDS: f64 = 0.1;
-/// How much slower a back end is taken to be that has just started and has told nothing yet.
+/// Assumed ratio of the service time of a cold back end without a report to the mean of the service.
 const COLD_FACTOR: f64 = 2.0;
-/// Share of the slots from which on a back end counts as crowded: its queue may be longer than the last report told.
+/// Share of occupied slots from which on a back end counts as crowded: its queue may be longer than in the
+/// last report.
 const CROWDED_SHARE: f64 = 0.75;
-/// Shortest objective reckoned with, in seconds.
+/// Shortest objective used in the cost estimate, in seconds.
 const SHORTEST_OBJECTIVE_SECONDS: f64 = 0.001;
-/// Relative size of the random part, which keeps nodes with the same knowledge from choosing alike.
+/// Relative size of the random part of the cost, which keeps nodes with the same information from making the
+/// same choice.
 const JITTER: f64 = 0.1;
 
-/// Weights of the choice. The unit of all costs is that of an answer at the very end of the objective.
+/// Weights of the cost function. The unit of all costs is the cost of a response at the very end of the
+/// objective.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SelectorSettings {
-    /// Cost of an endpoint in another zone, as long as none has refused the request: bytes between zones are dear.
+    /// Cost of an endpoint in another zone while no endpoint has refused the request: traffic between zones
+    /// is expensive.
     pub zone_cost: f64,
-    /// The same once one has: the own zone may be fuller than others.
+    /// The same after a refusal: this node's zone may be fuller than others.
     pub zone_cost_after_refusal: f64,
-    /// Cost of an endpoint in another region, on top.
+    /// Additional cost of an endpoint in another region.
     pub region_cost: f64,
-    /// Cost of an answer that is lost.
+    /// Cost of a lost response.
     pub failure_cost: f64,
-    /// Which endpoints are drawn at random for one choice.
+    /// How endpoints are sampled for each selection.
     pub draw: SamplingSettings,
 }
 
@@ -52,12 +56,12 @@
     }
 }
 
-type Endpoints = BTreeMap<NodeName, Tracked>;
+type Endpoints = BTreeMap<NodeName, EndpointState>;
 
-/// The endpoints by service and node.
+/// The endpoints of all services, with the load and latency known for each.
 #[derive(Debug)]
 pub struct Selector {
-    own: Locality,
+    own_locality: Locality,
     settings: SelectorSettings,
     services: BTreeMap<ServiceName, Endpoints>,
     releases: BTreeMap<ServiceName, Releases>,
@@ -65,11 +69,11 @@
 }
 
 impl Selector {
-    /// A selector of a node at `own` that knows no endpoint.
+    /// Creates a selector without endpoints for a node in `own_locality`.
     #[must_use]
-    pub fn new(own: Locality, settings: SelectorSettings) -> Self {
+    pub fn new(own_locality: Locality, settings: SelectorSettings) -> Self {
         Self {
-            own,
+            own_locality,
             settings,
             services: BTreeMap::new(),
             releases: BTreeMap::new(),
@@ -77,30 +81,30 @@
         }
     }
 
-    /// Sets the endpoints of `service` that take new work; all others of it are forgotten.
+    /// Sets the endpoints of `service` that accept new requests; all others are removed.
     pub fn set_endpoints(&mut self, now: Instant, service: &ServiceName, endpoints: Vec<Endpoint>) {
         self.releases.entry(service.clone()).or_default().on_endpoints(now, endpoints.iter());
         let mut before = self.services.remove(service).unwrap_or_default();
         let mut after = Endpoints::new();
         for endpoint in endpoints {
             let node = endpoint.node.clone();
-            let tracked = match before.remove(&node) {
-                Some(mut tracked) => {
-                    if tracked.update(endpoint) {
-                        self.times.forget(&node);
+            let state = match before.remove(&node) {
+                Some(mut state) => {
+                    if state.update(endpoint) {
+                        self.times.remove_node(&node);
                     }
-                    tracked
+                    state
                 }
-                None => Tracked::new(endpoint),
+                None => EndpointState::new(endpoint),
             };
-            after.insert(node, tracked);
+            after.insert(node, state);
         }
         if !after.is_empty() {
             self.services.insert(service.clone(), after);
         }
     }
 
-    /// Sets the share of a release in the requests of `service`.
+    /// Sets the target release of `service` and its share of the requests.
     pub fn set_release_share(
         &mut self,
         now: Instant,
@@ -111,12 +115,12 @@
         let releases = self.releases.entry(service.clone()).or_default();
         releases.set_share(share, random);
         let endpoints = self.services.get(service).into_iter().flatten();
-        releases.on_endpoints(now, endpoints.map(|(_, tracked)| &tracked.endpoint));
+        releases.on_endpoints(now, endpoints.map(|(_, state)| &state.endpoint));
     }
 
-    /// Deals one request of `service` to the releases that may get it.
+    /// Assigns one request of `service` to a release group.
     pub fn assign_release(&mut self, service: &ServiceName) -> ReleaseGroup {
-        self.releases.get_mut(service).map_or(ReleaseGroup::Others, Releases::deal)
+        self.releases.get_mut(service).map_or(ReleaseGroup::Others, Releases::assign)
     }
 
     /// Services with at least one endpoint.
@@ -124,21 +128,21 @@
         self.services.keys()
     }
 
-    /// Count of the endpoints of `service`.
+    /// Number of endpoints of `service`.
     #[must_use]
     pub fn count(&self, service: &ServiceName) -> usize {
         self.services.get(service).map_or(0, BTreeMap::len)
     }
 
-    /// Takes in what the node `node` told of the load of its back end. How old that is isn't known, so what it tells of this moment's
-    /// slowness doesn't count.
+    /// Applies a load report of the back end at `node` whose age is unknown. Its slowdown is ignored, since
+    /// that describes only the moment of the report.
     pub fn on_report(&mut self, service: &ServiceName, node: &NodeName, report: LoadReport) {
-        if let Some(tracked) = self.tracked(service, node) {
-            tracked.on_report(None, report);
+        if let Some(state) = self.state(service, node) {
+            state.on_report(None, report);
         }
     }
 
-    /// Takes in what the node `node` has told just now of the load of its back end.
+    /// Applies a load report that `node` has just sent about its back end.
     pub fn on_fresh_report(
         &mut self,
         now: Instant,
@@ -146,18 +150,21 @@
         node: &NodeName,
         report: LoadReport,
     ) {
-        if let Some(tracked) = self.tracked(service, node) {
-            tracked.on_report(Some(now), report);
+        if let Some(state) = self.state(service, node) {
+            state.on_report(Some(now), report);
         }
     }
 
-    /// Of a few endpoints drawn at random the one from which an answer is expected first, a preference for near ones
-    /// included; absent if none is left that was not tried.
+    /// Samples a few untried endpoints and selects the one with the lowest cost, which is mostly the expected
+    /// time to the response plus a preference for near endpoints. Returns `None` if no usable endpoint is
+    /// left.
     ///
-    /// What is known of other nodes' load is as old as their last word. If every node took the best of all, all would choose
-    /// the same few until the next word; a draw spreads them, and two of each distance are nearly as good as the best
-    /// (Mitzenmacher, *The Power of Two Choices in Randomized Load Balancing*) where all are alike. Where some are much faster than others,
-    /// two may both be slow: more are drawn while slots are free, the faster ones more often.
+    /// Load information about other nodes is as old as their last report. If every node selected the best
+    /// endpoint of all, all would select the same few until the next report. Random sampling spreads the
+    /// requests, and where endpoints are alike two per distance are nearly as good as the best of all
+    /// (Mitzenmacher, *The Power of Two Choices in Randomized Load Balancing*). Where some are much faster
+    /// than others, both of two may be slow; therefore more are sampled while slots are free, the faster ones
+    /// more often.
     pub fn choose(
         &self,
         now: Instant,
@@ -168,18 +175,18 @@
         let endpoints = self.services.get(service)?;
         let typical = typical_service_seconds(endpoints);
         let usable = self.usable(endpoints, now, service, query);
-        let drawn = self.draw(now, usable, typical, random);
-        let costs = drawn.into_iter().map(|tracked| {
-            let estimate = self.estimate(now, tracked, typical, query);
+        let sampled = self.sample(now, usable, typical, random);
+        let costs = sampled.into_iter().map(|state| {
+            let estimate = self.estimate(now, state, typical, query);
             let factor = 1.0 + JITTER * random.random::<f64>();
-            (estimate.cost * factor, estimate, tracked)
+            (estimate.cost * factor, estimate, state)
         });
-        let (_cost, estimate, tracked) = costs.min_by(|left, right| left.0.total_cmp(&right.0))?;
-        Some(self.choice(tracked, &estimate))
+        let (_cost, estimate, state) = costs.min_by(|left, right| left.0.total_cmp(&right.0))?;
+        Some(self.choice(state, &estimate))
     }
 
-    /// The endpoint to which a caller's own key belongs, so that a repetition of the request meets the node that
-    /// remembers it (rendezvous hashing); absent if none is left that was not tried.
+    /// Selects the endpoint for a caller's idempotency key, so that a duplicate of the request reaches the
+    /// node that remembers the first one (rendezvous hashing). Returns `None` if no usable endpoint is left.
     pub fn choose_for_key(
         &self,
         now: Instant,
@@ -190,18 +197,18 @@
         let endpoints = self.services.get(service)?;
         let typical = typical_service_seconds(endpoints);
         let ranked = self.usable(endpoints, now, service, query);
-        let tracked = ranked.max_by_key(|tracked| key_weight(key, &tracked.endpoint.node))?;
-        Some(self.choice(tracked, &self.estimate(now, tracked, typical, query)))
+        let state = ranked.max_by_key(|state| key_weight(key, &state.endpoint.node))?;
+        Some(self.choice(state, &self.estimate(now, state, typical, query)))
     }
 
-    /// Takes in that a request was sent.
+    /// Records that a request was sent.
     pub fn on_sent(&mut self, service: &ServiceName, node: &NodeName) {
-        if let Some(tracked) = self.tracked(service, node) {
-            tracked.on_sent();
+        if let Some(state) = self.state(service, node) {
+            state.on_sent();
         }
     }
 
-    /// Takes in how a request that was sent has ended.
+    /// Records the outcome of a request that was sent.
     pub fn on_ended(
         &mut self,
         now: Instant,
@@ -209,13 +216,13 @@
         node: &NodeName,
         observation: Observation,
     ) {
-        if let Some(tracked) = self.tracked(service, node) {
-            tracked.on_ended(now, observation);
+        if let Some(state) = self.state(service, node) {
+            state.on_ended(now, observation);
         }
     }
 
-    /// Takes in how long an answered request of `route` took in the back end, and how long outside it and its queue. It comes after the
-    /// answer's load report, which tells at which speed the back end worked.
+    /// Records service time and overhead of a request of `route` that got a response. Must be called after
+    /// the load report of the response was applied, which contains the speed of the back end.
     pub fn on_response_times(
         &mut self,
         now: Instant,
@@ -224,56 +231,57 @@
         node: &NodeName,
         times: ResponseTimes,
     ) {
-        let Some(tracked) = self.tracked(service, node) else { return };
-        tracked.on_overhead(times.overhead);
-        let usual = times.served.div_f64(tracked.slowdown_factor(now));
+        let Some(state) = self.state(service, node) else { return };
+        state.on_overhead(times.overhead);
+        let usual = times.served.div_f64(state.slowdown_factor(now));
         self.times.record(route, node, usual);
     }
 
-    /// The endpoints that were not tried, are in a region where the request may be served, can be reached, and are of a release that may get the request.
+    /// The endpoints that were not tried, are in a region where the request may be served, are reachable, and
+    /// belong to a release that may get the request.
     fn usable<'a>(
         &'a self,
         endpoints: &'a Endpoints,
         now: Instant,
         service: &ServiceName,
         query: Query<'a>,
-    ) -> impl Iterator<Item = &'a Tracked> {
+    ) -> impl Iterator<Item = &'a EndpointState> {
         let releases = self.releases.get(service);
-        let is_allowed = move |tracked: &&Tracked| {
-            releases.is_none_or(|releases| releases.allows(now, query.group, &tracked.endpoint))
+        let is_allowed = move |state: &&EndpointState| {
+            releases.is_none_or(|releases| releases.allows(now, query.group, &state.endpoint))
         };
-        let untried = endpoints.values().filter(move |tracked| !query.tried.contains(&tracked.endpoint.node));
-        let is_home = move |tracked: &&Tracked| query.homes.allow(&tracked.endpoint.locality.region);
-        untried.filter(is_home).filter(move |tracked| tracked.is_reachable(now)).filter(is_allowed)
+        let untried = endpoints.values().filter(move |state| !query.tried.contains(&state.endpoint.node));
+        let is_home = move |state: &&EndpointState| query.homes.allow(&state.endpoint.locality.region);
+        untried.filter(is_home).filter(move |state| state.is_reachable(now)).filter(is_allowed)
     }
 
-    /// Some endpoints of each distance.
-    fn draw<'a>(
+    /// Samples endpoints of each distance.
+    fn sample<'a>(
         &self,
         now: Instant,
-        endpoints: impl Iterator<Item = &'a Tracked>,
+        endpoints: impl Iterator<Item = &'a EndpointState>,
         typical: f64,
         random: &mut impl Rng,
-    ) -> Vec<&'a Tracked> {
+    ) -> Vec<&'a EndpointState> {
         let settings = &self.settings.draw;
         if !settings.is_by_speed() {
-            let by_distance = self.by_distance(endpoints, |tracked| tracked);
-            let drawn =
+            let by_distance = self.by_distance(endpoints, |state| state);
+            let sampled =
                 by_distance.into_iter().flat_map(|near| near.into_iter().sample(random, settings.count));
-            return drawn.collect();
+            return sampled.collect();
         }
-        let candidates: Vec<Candidate<&Tracked>> =
-            endpoints.map(|tracked| candidate(now, tracked, typical)).collect();
-        let draw = Draw::among(&candidates, settings);
+        let candidates: Vec<Candidate<&EndpointState>> =
+            endpoints.map(|state| candidate(now, state, typical)).collect();
+        let sampler = Sampler::for_candidates(&candidates, settings);
         let by_distance = self.by_distance(candidates, |candidate| candidate.endpoint);
-        by_distance.into_iter().flat_map(|near| draw.draw(near, random)).collect()
+        by_distance.into_iter().flat_map(|near| sampler.sample(near, random)).collect()
     }
 
-    /// The items by the distance of their endpoints.
+    /// Groups items by the distance of their endpoints.
     fn by_distance<'a, I>(
         &self,
         items: impl IntoIterator<Item = I>,
-        endpoint_of: impl Fn(&I) -> &'a Tracked,
+        endpoint_of: impl Fn(&I) -> &'a EndpointState,
     ) -> [Vec<I>; Distance::COUNT] {
         let mut by_distance: [Vec<I>; Distance::COUNT] = std::array::from_fn(|_| Vec::new());
         for item in items {
@@ -282,34 +290,35 @@
         by_distance
     }
 
-    fn tracked(&mut self, service: &ServiceName, node: &NodeName) -> Option<&mut Tracked> {
+    fn state(&mut self, service: &ServiceName, node: &NodeName) -> Option<&mut EndpointState> {
         self.services.get_mut(service)?.get_mut(node)
     }
 
-    /// An answer well inside the objective costs little, however much faster another one would be; towards the end of
-    /// the objective and beyond it the cost grows.
-    fn estimate(&self, now: Instant, tracked: &Tracked, typical: f64, query: Query<'_>) -> Estimate {
-        let mean = mean_seconds(tracked, typical);
-        let of_route = self.times.expected(query.route, &tracked.endpoint.node, mean / typical);
+    /// Estimates the cost of an endpoint. A response well within the objective costs little even if another
+    /// endpoint would be much faster; towards the end of the objective and beyond it the cost grows
+    /// quadratically.
+    fn estimate(&self, now: Instant, state: &EndpointState, typical: f64, query: Query<'_>) -> Estimate {
+        let mean = mean_seconds(state, typical);
+        let of_route = self.times.expected(query.route, &state.endpoint.node, mean / typical);
         let service = of_route.unwrap_or(mean);
-        let slowdown = tracked.slowdown_factor(now);
-        let wait = expected_wait(tracked.held(), tracked.slots(), mean) * slowdown;
-        let time = wait + service * slowdown + tracked.overhead_seconds();
+        let slowdown = state.slowdown_factor(now);
+        let wait = expected_wait(state.estimated_load(), state.slots(), mean) * slowdown;
+        let time = wait + service * slowdown + state.overhead_seconds();
         let share = time / query.objective.as_secs_f64().max(SHORTEST_OBJECTIVE_SECONDS);
         let lateness = share.powi(2);
-        let failures = tracked.failures_now(now).min(1.0).max(tracked.failed_share());
+        let failures = state.decayed_failures(now).min(1.0).max(state.failed_share());
         let failing = failures * self.settings.failure_cost;
-        let cost = lateness + failing + self.distance_cost(&tracked.endpoint.locality, query);
+        let cost = lateness + failing + self.distance_cost(&state.endpoint.locality, query);
         Estimate { cost, wait, service, time }
     }
 
-    fn choice(&self, tracked: &Tracked, estimate: &Estimate) -> Choice {
+    fn choice(&self, state: &EndpointState, estimate: &Estimate) -> Choice {
         Choice {
-            node: tracked.endpoint.node.clone(),
-            address: tracked.endpoint.address,
-            has_free_slot: tracked.held() + 1.0 <= tracked.slots(),
-            is_near: self.distance(&tracked.endpoint.locality) == Distance::Zone,
-            instance: tracked.endpoint.instance.clone(),
+            node: state.endpoint.node.clone(),
+            address: state.endpoint.address,
+            has_free_slot: state.estimated_load() + 1.0 <= state.slots(),
+            is_near: self.distance(&state.endpoint.locality) == Distance::SameZone,
+            instance: state.endpoint.instance.clone(),
             service: Duration::from_secs_f64(estimate.service),
             wait: Duration::from_secs_f64(estimate.wait),
             total: Duration::from_secs_f64(estimate.time),
@@ -317,12 +326,12 @@
     }
 
     fn distance(&self, locality: &Locality) -> Distance {
-        if *locality == self.own {
-            Distance::Zone
-        } else if locality.region == self.own.region {
-            Distance::Region
+        if *locality == self.own_locality {
+            Distance::SameZone
+        } else if locality.region == self.own_locality.region {
+            Distance::SameRegion
         } else {
-            Distance::Abroad
+            Distance::OtherRegion
         }
     }
 
@@ -331,32 +340,32 @@
         let zone_cost =
             if is_first { self.settings.zone_cost } else { self.settings.zone_cost_after_refusal };
         match self.distance(locality) {
-            Distance::Zone => 0.0,
-            Distance::Region => zone_cost,
-            Distance::Abroad => zone_cost + self.settings.region_cost,
+            Distance::SameZone => 0.0,
+            Distance::SameRegion => zone_cost,
+            Distance::OtherRegion => zone_cost + self.settings.region_cost,
         }
     }
 }
 
-/// How far an endpoint is.
+/// Distance of an endpoint from this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Distance {
-    /// In the own zone.
-    Zone,
-    /// In another zone of the own region.
-    Region,
+    /// In the same zone.
+    SameZone,
+    /// In another zone of the same region.
+    SameRegion,
     /// In another region.
-    Abroad,
+    OtherRegion,
 }
 
 impl Distance {
     const COUNT: usize = 3;
 }
 
-/// How long an answered request took.
+/// Durations of a request that got a response.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ResponseTimes {
-    /// Time in the back end.
+    /// Service time in the back end.
     pub served: Duration,
     /// Time outside the back end and its queue.
     pub overhead: Duration,
@@ -370,23 +379,24 @@
     time: f64,
 }
 
-fn candidate(now: Instant, tracked: &Tracked, typical: f64) -> Candidate<&Tracked> {
+fn candidate(now: Instant, state: &EndpointState, typical: f64) -> Candidate<&EndpointState> {
     Candidate {
-        endpoint: tracked,
-        seconds: mean_seconds(tracked, typical) * tracked.slowdown_factor(now),
-        free_share: (1.0 - tracked.held() / tracked.slots()).max(0.0),
+        endpoint: state,
+        seconds: mean_seconds(state, typical) * state.slowdown_factor(now),
+        free_share: (1.0 - state.estimated_load() / state.slots()).max(0.0),
     }
 }
 
-/// Mean service time of an endpoint in seconds, or what is to be assumed of it where the mean of the others is `typical`.
-fn mean_seconds(tracked: &Tracked, typical: f64) -> f64 {
-    let cold = if tracked.endpoint.is_cold { COLD_FACTOR } else { 1.0 };
-    tracked.service_seconds().unwrap_or(typical * cold)
+/// Mean service time of an endpoint in seconds; if it has not reported one, a default derived from `typical`,
+/// the mean over the others.
+fn mean_seconds(state: &EndpointState, typical: f64) -> f64 {
+    let cold = if state.endpoint.is_cold { COLD_FACTOR } else { 1.0 };
+    state.service_seconds().unwrap_or(typical * cold)
 }
 
-/// Mean over the endpoints that have told their service time.
+/// Mean service time over the endpoints that have reported one, in seconds.
 fn typical_service_seconds(endpoints: &Endpoints) -> f64 {
-    let known: Vec<f64> = endpoints.values().filter_map(Tracked::service_seconds).collect();
+    let known: Vec<f64> = endpoints.values().filter_map(EndpointState::service_seconds).collect();
     if known.is_empty() {
         return UNKNOWN_SERVICE_SECONDS;
     }
@@ -394,7 +404,8 @@
     known.iter().sum::<f64>() / count
 }
 
-/// Expected wait for a slot. It grows from [`CROWDED_SHARE`] on, since the load told is already past.
+/// Expected wait for a slot in seconds. It increases from an occupancy of [`CROWDED_SHARE`] on, since the
+/// reported load is already outdated.
 fn expected_wait(held: f64, slots: f64, service: f64) -> f64 {
     let per_slot = service / slots;
     let over = (held + 1.0 - slots).max(0.0);
@@ -403,7 +414,7 @@
     per_slot * (over + crowded)
 }
 
-/// Weight of a node for a key: the same on every node that asks.
+/// Weight of a node for a key; every node computes the same value.
 fn key_weight(key: &[u8], node: &NodeName) -> u64 {
     let mut hasher = blake3::Hasher::new();
     hasher.update(key);
--- a/crates/selection/tests/budget.rs
+++ b/crates/selection/tests/budget.rs
@@ -1,34 +1,35 @@
-//! The retry budget: one allowance over all nodes, in every window, whatever restarts, is cut off or moves.
+//! Tests that the retry budget is a single limit over all nodes in every window, regardless of restarts,
+//! partitions and shifting load.
 
 use std::time::{Duration, Instant};
 
 use quickcheck::{QuickCheck, quickcheck};
-use umberpond_selection::{OtherCalls, RetryBudget, RetryBudgetSettings, RetryInitiator, RetryStakes};
+use umberpond_selection::{OtherCalls, RetryBudget, RetryBudgetSettings, RetryDemand, RetryInitiator};
 
 const SETTINGS: RetryBudgetSettings =
     RetryBudgetSettings { ratio: 0.2, extra: 12.0, window: Duration::from_secs(10) };
 
 fn take_all(budget: &mut RetryBudget, now: Instant, nodes: Option<usize>) -> usize {
     let taken = (0..1_000).filter(|_| budget.take(now, nodes, &SETTINGS)).count();
-    (0..taken).for_each(|_| budget.on_arrived());
+    (0..taken).for_each(|_| budget.confirm_arrival());
     taken
 }
 
 #[test]
-fn what_was_saved_before_a_suspension_is_not_spent_after_it() {
+fn savings_discarded_after_a_suspension_cannot_be_spent() {
     let now = Instant::now();
     let settings = RetryBudgetSettings { ratio: 0.2, extra: 0.0, window: Duration::from_secs(10) };
     let mut budget = RetryBudget::default();
     for _request in 0..100 {
         budget.count_request(now, Some(4), &settings);
     }
-    assert!(budget.left(now, Some(4), &settings) >= 9.0);
+    assert!(budget.available(now, Some(4), &settings) >= 9.0);
     budget.discard_savings();
     assert!(!budget.take(now, Some(4), &settings));
 }
 
 #[test]
-fn requests_earn_a_half_of_the_ratio_each() {
+fn each_request_earns_half_of_the_ratio() {
     let now = Instant::now();
     let mut budget = RetryBudget::default();
     for _ in 0..100 {
@@ -38,7 +39,7 @@
 }
 
 #[test]
-fn an_even_load_may_repeat_the_whole_ratio_in_a_window_that_finds_all_saved() {
+fn steady_load_spends_the_whole_ratio_in_a_window_that_starts_with_full_savings() {
     let began = Instant::now();
     let mut budget = RetryBudget::default();
     let mut taken = 0;
@@ -51,11 +52,11 @@
             taken += take_all(&mut budget, now, None);
         }
     }
-    assert!((190..=200).contains(&taken), "{taken} repeats for 1000 requests");
+    assert!((190..=200).contains(&taken), "{taken} retries for 1000 requests");
 }
 
 #[test]
-fn what_was_saved_leaves_with_the_requests_that_earned_it() {
+fn savings_expire_with_the_requests_that_earned_them() {
     let now = Instant::now();
     let mut budget = RetryBudget::default();
     for _ in 0..100 {
@@ -65,7 +66,7 @@
 }
 
 #[test]
-fn a_nodes_part_of_the_extra_comes_in_by_and_by() {
+fn node_part_of_the_extra_accrues_over_time() {
     let now = Instant::now();
     let mut budget = RetryBudget::default();
     assert_eq!(take_all(&mut budget, now, Some(2)), 0, "a process that has just started has saved nothing");
@@ -76,7 +77,7 @@
 }
 
 #[test]
-fn a_node_that_does_not_know_who_shares_the_extra_has_no_part_of_it() {
+fn node_gets_no_extra_while_the_node_count_is_unknown() {
     let now = Instant::now();
     let mut budget = RetryBudget::default();
     assert_eq!(take_all(&mut budget, now, None), 0);
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn what_did_not_arrive_is_given_back() {
+fn retries_that_did_not_arrive_are_returned_to_the_budget() {
     let now = Instant::now();
     let mut budget = RetryBudget::default();
     for _ in 0..10 {
@@ -98,7 +99,7 @@
 }
 
 #[test]
-fn repeats_on_the_way_count_as_saved() {
+fn retries_in_transit_count_against_the_savings_bound() {
     let began = Instant::now();
     let mut budget = RetryBudget::default();
     let load = |budget: &mut RetryBudget, seconds: std::ops::Range<u64>| {
@@ -111,81 +112,84 @@
     let taken = (0..60).filter(|_| budget.take(began + Duration::from_secs(9), None, &SETTINGS)).count();
     assert_eq!(taken, 60);
     load(&mut budget, 10..20);
-    let left = budget.left(began + Duration::from_millis(19_500), None, &SETTINGS);
-    assert!((39.0..41.0).contains(&left), "{left} left: 60 of 100 are on the way");
+    let available = budget.available(began + Duration::from_millis(19_500), None, &SETTINGS);
+    assert!((39.0..41.0).contains(&available), "{available} available: 60 of 100 are in transit");
 }
 
 const NODES: usize = 3;
 /// Time between two requests.
-const PAUSE: Duration = Duration::from_millis(20);
-/// Requests of one case: 50 s.
+const REQUEST_INTERVAL: Duration = Duration::from_millis(20);
+/// Number of requests of one test case, which last 50 s.
 const REQUESTS: usize = 2_500;
-/// Requests after which everything that the budget allows is sent again: all nodes have saved what they may by then.
-const CALM_REQUESTS: usize = 1_000;
+/// Number of requests after which every retry that the budget allows is sent: by then all nodes have saved as
+/// much as they may.
+const WARM_UP_REQUESTS: usize = 1_000;
 
-/// Count of `times` in the window that begins at `from`.
+/// Number of `times` within the window that begins at `from`.
 fn count(times: &[Duration], from: Duration) -> u32 {
     let is_inside = |at: &&Duration| **at >= from && **at < from + SETTINGS.window;
     u32::try_from(times.iter().filter(is_inside).count()).unwrap()
 }
 
-/// Repeats of the window that begins at `from` beyond those that its requests allow, or those of the window before it or of the one half a
-/// window before it.
+/// Retries in the window that begins at `from` beyond the limit. The limit is computed from the maximum of
+/// the requests in that window, in the window before it, and in the one half a window before it.
 fn excess(requests: &[Duration], repeats: &[Duration], from: Duration) -> f64 {
     let earlier = [Duration::ZERO, SETTINGS.window / 2, SETTINGS.window];
     let most = earlier.map(|earlier| count(requests, from - earlier)).into_iter().max().unwrap();
     f64::from(count(repeats, from)) - SETTINGS.ratio * f64::from(most) - SETTINGS.extra
 }
 
-/// The greatest excess of any window if each node sends again whatever it may once the calm is over. Each of `turns` says at which node
-/// the next requests arrive, whether that node's process starts again first, and how long its repeats are on the way.
+/// The largest excess of any window if each node sends every retry that it may once [`WARM_UP_REQUESTS`] have
+/// been sent. Each of `turns` contains the node that receives the next requests, whether the process of that
+/// node restarts first, and the transit time of its retries.
 fn worst_excess(turns: &[(u8, u8, u8)]) -> f64 {
-    worst_excess_by_stake(turns, &[])
+    worst_excess_by_priority(turns, &[])
 }
 
-/// As [`worst_excess`], with repeats for each of `owners` in turn; for nobody in particular if there are none.
-fn worst_excess_by_stake(turns: &[(u8, u8, u8)], owners: &[RetryInitiator]) -> f64 {
+/// Like [`worst_excess`], with retries for each of `initiators` in turn; without owners, retries are taken
+/// regardless of priority.
+fn worst_excess_by_priority(turns: &[(u8, u8, u8)], initiators: &[RetryInitiator]) -> f64 {
     let started = Instant::now();
-    // Two windows later than zero, so that the windows before the first one have a beginning.
+    // Starts two windows after zero, so that the windows before the first one are valid.
     let mut at = SETTINGS.window * 2;
     let mut budgets: [RetryBudget; NODES] = Default::default();
-    let mut stakes: [RetryStakes; NODES] = Default::default();
-    let mut on_the_way: Vec<(Duration, usize)> = Vec::new();
+    let mut demand: [RetryDemand; NODES] = Default::default();
+    let mut in_transit: Vec<(Duration, usize)> = Vec::new();
     let (mut requests, mut repeats) = (Vec::new(), Vec::new());
     for number in 0..REQUESTS {
-        at += PAUSE;
+        at += REQUEST_INTERVAL;
         let now = started + at;
         let (node, restart, delay) = turns[number / 10 % turns.len()];
         let node = usize::from(node) % NODES;
-        if number % 10 == 0 && number >= CALM_REQUESTS && restart % 32 == 0 {
-            on_the_way.retain(|(_, of)| *of != node);
+        if number % 10 == 0 && number >= WARM_UP_REQUESTS && restart % 32 == 0 {
+            in_transit.retain(|(_, sender)| *sender != node);
             budgets[node] = RetryBudget::default();
-            stakes[node] = RetryStakes::default();
+            demand[node] = RetryDemand::default();
         }
-        let mut asked = 0;
+        let mut retry_requests = 0;
         budgets[node].count_request(now, Some(NODES), &SETTINGS);
         requests.push(at);
         for (index, budget) in budgets.iter_mut().enumerate() {
             let mut take = |budget: &mut RetryBudget| {
-                if owners.is_empty() {
+                if initiators.is_empty() {
                     return budget.take(now, Some(NODES), &SETTINGS);
                 }
-                // Each owner asks, whatever the one before it was told.
-                (0..owners.len()).any(|_| {
-                    let owner = owners[asked % owners.len()];
-                    asked += 1;
-                    let Some(stake) = stakes[index].claim(now, owner) else { return false };
-                    let most_saved = budget.most_saved(now, Some(NODES), &SETTINGS);
-                    let reserved = stakes[index].reserved(now, stake, most_saved);
+                // Each owner requests a retry, even if that of the previous one was denied.
+                (0..initiators.len()).any(|_| {
+                    let initiator = initiators[retry_requests % initiators.len()];
+                    retry_requests += 1;
+                    let Some(priority) = demand[index].record(now, initiator) else { return false };
+                    let max_savings = budget.max_savings(now, Some(NODES), &SETTINGS);
+                    let reserved = demand[index].reserved(now, priority, max_savings);
                     budget.take_above(now, Some(NODES), &SETTINGS, reserved)
                 })
             };
-            while number >= CALM_REQUESTS && take(budget) {
-                on_the_way.push((at + Duration::from_millis(u64::from(delay) * 4), index));
+            while number >= WARM_UP_REQUESTS && take(budget) {
+                in_transit.push((at + Duration::from_millis(u64::from(delay) * 4), index));
             }
         }
-        for (_, of) in on_the_way.extract_if(.., |(due, _)| *due <= at) {
-            budgets[of].on_arrived();
+        for (_, sender) in in_transit.extract_if(.., |(due, _)| *due <= at) {
+            budgets[sender].confirm_arrival();
             repeats.push(at);
         }
     }
@@ -193,44 +197,45 @@
 }
 
 #[test]
-fn an_even_load_spends_what_is_allowed_and_no_more() {
+fn steady_load_does_not_exceed_the_limit() {
     let turns: Vec<(u8, u8, u8)> = (0..3).map(|node| (node, 1, 0)).collect();
     let excess = worst_excess(&turns);
-    assert!((-12.0..=0.0).contains(&excess), "{excess} beyond what is allowed");
+    assert!((-12.0..=0.0).contains(&excess), "{excess} retries beyond the limit");
 }
 
 #[test]
-fn a_process_that_starts_again_all_the_time_saves_nothing() {
+fn restarting_process_saves_no_retries() {
     assert!(worst_excess(&[(0, 0, 1)]) <= 0.0);
 }
 
-/// A caller whose request has some rank, or a run with other calls of all kinds.
-fn owner(is_run: bool, number: u8) -> RetryInitiator {
+/// Returns a caller with some priority rank, or a run with any combination of other calls.
+fn initiator(is_run: bool, number: u8) -> RetryInitiator {
     let bit = |place: u8| u32::from(number >> place & 1);
     let others = OtherCalls { open: bit(0), rejected: bit(1), lost: bit(2) };
     if is_run { RetryInitiator::Run(others) } else { RetryInitiator::Caller { rank: number % 4 } }
 }
 
 quickcheck! {
-    /// Wherever requests move, however long repeats are on the way and whichever processes start again, no window of all nodes together
-    /// has more repeats than are allowed.
-    fn no_window_is_overspent(turns: Vec<(u8, u8, u8)>) -> bool {
+    /// Whichever nodes receive the requests, however long retries are in transit and whichever processes
+    /// restart, no window of all nodes together has more retries than are allowed.
+    fn no_window_exceeds_the_limit(turns: Vec<(u8, u8, u8)>) -> bool {
         turns.is_empty() || worst_excess(&turns) <= 0.0
     }
 }
 
-/// Cases of repeats by stake; each plays as long as one of those above.
-const STAKE_CASES: u64 = 30;
+/// Number of test cases with priorities; each takes as long as one of those above.
+const PRIORITY_CASES: u64 = 30;
 
-/// Nor if repeats are spent by stake: what is kept for some is no allowance on top, and a process that starts again keeps nothing.
+/// The same with priorities: what is reserved does not add to the limit, and a restarted process has nothing
+/// reserved.
 #[test]
-fn no_window_is_overspent_by_stake() {
-    fn is_kept(turns: Vec<(u8, u8, u8)>, owners: Vec<(bool, u8)>) -> bool {
-        let owners: Vec<RetryInitiator> =
-            owners.iter().map(|(is_run, number)| owner(*is_run, *number)).collect();
-        turns.is_empty() || worst_excess_by_stake(&turns, &owners) <= 0.0
+fn no_window_exceeds_the_limit_with_priorities() {
+    fn is_within_limit(turns: Vec<(u8, u8, u8)>, initiators: Vec<(bool, u8)>) -> bool {
+        let initiators: Vec<RetryInitiator> =
+            initiators.iter().map(|(is_run, number)| initiator(*is_run, *number)).collect();
+        turns.is_empty() || worst_excess_by_priority(&turns, &initiators) <= 0.0
     }
     QuickCheck::new()
-        .tests(STAKE_CASES)
-        .quickcheck(is_kept as fn(Vec<(u8, u8, u8)>, Vec<(bool, u8)>) -> bool);
+        .tests(PRIORITY_CASES)
+        .quickcheck(is_within_limit as fn(Vec<(u8, u8, u8)>, Vec<(bool, u8)>) -> bool);
 }
--- a/crates/selection/tests/replay/mod.rs
+++ b/crates/selection/tests/simulation/mod.rs
@@ -1,4 +1,4 @@
-//! One pass of requests over callers' nodes and back ends that are uneven, on virtual time.
+//! Simulates requests between calling nodes and back ends of unequal speed, in virtual time.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -14,64 +14,66 @@
 
 const SLOTS: u32 = 4;
 const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Back ends of each zone; as many nodes call them.
+/// Number of back ends per zone; as many nodes call them.
 const NODES_OF_ZONE: usize = 8;
 const NODES: usize = ZONES.len() * NODES_OF_ZONE;
-const WORK: Duration = Duration::from_millis(58);
-/// Standard deviation of the logarithm of the work.
+const MEAN_WORK: Duration = Duration::from_millis(58);
+/// Standard deviation of the logarithm of the service time.
 const WORK_SPREAD: f64 = 0.5;
-/// Share of the requests that take many times as long as others.
+/// Share of the requests that take several times as long as others.
 const TAIL_SHARE: f64 = 0.03;
 const TAIL_FACTOR: f64 = 7.0;
 const OBJECTIVE: Duration = Duration::from_millis(250);
 const DEADLINE: Duration = Duration::from_millis(600);
-/// Way of a request from node to node.
-const HOP: Duration = Duration::from_millis(2);
-/// Length of a spell in which a back end is slow, or not.
-const SPELL: Duration = Duration::from_millis(600);
+/// One-way latency between two nodes.
+const HOP_LATENCY: Duration = Duration::from_millis(2);
+/// Length of the intervals in which a back end is either slow or not.
+const SLOW_INTERVAL: Duration = Duration::from_millis(600);
 const SLOW_SHARE: f64 = 0.15;
 const SLOW_PERCENT: u16 = 250;
-/// Requests that come before this are not counted: nothing is known of the back ends yet.
+/// Requests that arrive before this time are not counted, since the back ends are still unknown.
 const WARM_UP: Duration = Duration::from_secs(5);
 const END: Duration = Duration::from_secs(25);
-/// As [`umberpond_forwarding`] has them: when a refusal is early, when an answer has to be expected, and how long a request is held.
+/// Values of [`umberpond_forwarding`]: until when a refusal counts as early, when a response must be
+/// expected, and how long a request is held in a queue.
 const EARLY_SHARE: f64 = 0.2;
 const EXPECTED_SHARE: f64 = 0.55;
 const HOLD_SHARE: f64 = 0.45;
 const BLIND_ATTEMPTS: usize = 2;
 const MAX_ATTEMPTS: usize = 8;
 
-/// What is played.
+/// Parameters of a simulation.
 #[derive(Debug, Clone, Copy)]
-pub struct Load {
-    /// Work that comes, as a share of what all slots can do.
+pub struct Scenario {
+    /// Offered load as a share of the capacity of all slots.
     pub share: f64,
-    /// Speeds of the back ends of a zone, by turns.
+    /// Speeds of the back ends of a zone, assigned in turn.
     pub speeds: [f64; 4],
-    /// Whether back ends are slow in spells.
-    pub has_spells: bool,
-    /// Whether they tell.
-    pub tells: bool,
-    /// Whether callers' nodes take in what is told; if not, only the nodes beside the back ends do.
-    pub reaches_callers: bool,
-    /// Time between two reports of a node to all others.
-    pub news_every: Duration,
+    /// Whether back ends are slow in some intervals.
+    pub has_slow_intervals: bool,
+    /// Whether back ends report their slowdown.
+    pub reports_slowdown: bool,
+    /// Whether calling nodes receive the reported slowdown; if not, only the nodes in front of the back ends
+    /// do.
+    pub callers_get_slowdown: bool,
+    /// Interval between two load reports of a node to all others.
+    pub report_interval: Duration,
     pub draw: SamplingSettings,
     pub seed: u64,
 }
 
-/// What became of the requests.
+/// Outcomes of the requests.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Tally {
+pub struct Outcomes {
     pub in_time: u32,
     pub late: u32,
-    /// Of those, the ones that would have been in time at another back end of their caller's zone which had a free slot when they were
-    /// handed over.
+    /// Late requests that would have been in time at another back end of the caller's zone which had a free
+    /// slot when they started.
     pub avoidable: u32,
     pub refused: u32,
     pub attempts: u32,
-    /// Attempts refused since the back end was slow.
-    pub slowed: u32,
+    /// Attempts refused because the back end was slow.
+    pub refused_as_slow: u32,
 }
 
 #[derive(Debug, Clone)]
@@ -80,7 +82,7 @@
     arrived: Duration,
     work: Duration,
     tried: Vec<NodeName>,
-    /// Where it is, and what is expected there.
+    /// Current node, and the service time expected there.
     at: usize,
     service: Duration,
     started: Duration,
@@ -88,13 +90,13 @@
 }
 
 #[derive(Debug, Clone, Copy)]
-enum Step {
-    Next,
-    Ask(usize),
-    Offer(usize),
-    Hold(usize, Ticket),
+enum Event {
+    NextRequest,
+    Send(usize),
+    Arrive(usize),
+    QueueTimeout(usize, Ticket),
     Finish(usize),
-    News(usize),
+    SendReport(usize),
 }
 
 struct BackEnd {
@@ -104,52 +106,52 @@
     waiting: BTreeMap<Ticket, usize>,
 }
 
-impl Tally {
-    pub fn plus(self, other: Self) -> Self {
+impl Outcomes {
+    pub fn add(self, other: Self) -> Self {
         Self {
             in_time: self.in_time + other.in_time,
             late: self.late + other.late,
             avoidable: self.avoidable + other.avoidable,
             refused: self.refused + other.refused,
             attempts: self.attempts + other.attempts,
-            slowed: self.slowed + other.slowed,
+            refused_as_slow: self.refused_as_slow + other.refused_as_slow,
         }
     }
 }
 
-/// The pass.
-pub struct Replay {
-    load: Load,
+/// State of a simulation.
+pub struct Simulation {
+    scenario: Scenario,
     epoch: Instant,
     now: Duration,
-    /// Draws what comes; the same whatever is chosen.
+    /// Generates the requests; the sequence does not depend on the selections.
     arrivals: ChaCha8Rng,
-    /// Draws for choices.
+    /// Random numbers for the selections.
     random: ChaCha8Rng,
-    steps: BTreeMap<(Duration, u64), Step>,
-    planned: u64,
+    events: BTreeMap<(Duration, u64), Event>,
+    last_sequence: u64,
     callers: Vec<Selector>,
     back_ends: Vec<BackEnd>,
     requests: Vec<Request>,
     service: ServiceName,
     route: RouteName,
-    tally: Tally,
+    outcomes: Outcomes,
 }
 
-/// Plays `load` to its end.
-pub fn play(load: Load) -> Tally {
-    let mut replay = Replay::new(load);
-    replay.run();
-    replay.tally
+/// Runs the simulation to its end.
+pub fn simulate(scenario: Scenario) -> Outcomes {
+    let mut simulation = Simulation::new(scenario);
+    simulation.run();
+    simulation.outcomes
 }
 
-impl Replay {
-    fn new(load: Load) -> Self {
+impl Simulation {
+    fn new(scenario: Scenario) -> Self {
         let epoch = Instant::now();
         let service = parsed("archive");
         let endpoints: Vec<Endpoint> = (0..NODES).map(endpoint).collect();
         let callers = (0..NODES).map(|number| {
-            let settings = SelectorSettings { draw: load.draw, ..SelectorSettings::default() };
+            let settings = SelectorSettings { draw: scenario.draw, ..SelectorSettings::default() };
             let mut selector = Selector::new(endpoints[number].locality.clone(), settings);
             selector.set_endpoints(epoch, &service, endpoints.clone());
             selector
@@ -158,64 +160,64 @@
             let mut queue = WorkQueue::new();
             queue.set_slots(SLOTS);
             queue.open();
-            let speed = load.speeds[number / ZONES.len() % load.speeds.len()];
+            let speed = scenario.speeds[number / ZONES.len() % scenario.speeds.len()];
             BackEnd { queue, speed, running: 0, waiting: BTreeMap::new() }
         });
-        let mut replay = Self {
-            load,
+        let mut simulation = Self {
+            scenario,
             epoch,
             now: Duration::ZERO,
-            arrivals: ChaCha8Rng::seed_from_u64(load.seed),
-            random: ChaCha8Rng::seed_from_u64(!load.seed),
-            steps: BTreeMap::new(),
-            planned: 0,
+            arrivals: ChaCha8Rng::seed_from_u64(scenario.seed),
+            random: ChaCha8Rng::seed_from_u64(!scenario.seed),
+            events: BTreeMap::new(),
+            last_sequence: 0,
             callers: callers.collect(),
             back_ends: back_ends.collect(),
             requests: Vec::new(),
             service,
             route: parsed("route"),
-            tally: Tally::default(),
+            outcomes: Outcomes::default(),
         };
-        replay.plan(Duration::ZERO, Step::Next);
+        simulation.schedule(Duration::ZERO, Event::NextRequest);
         for number in 0..NODES {
-            let first = load.news_every.mul_f64(replay.random.random());
-            replay.plan(first, Step::News(number));
+            let first = scenario.report_interval.mul_f64(simulation.random.random());
+            simulation.schedule(first, Event::SendReport(number));
         }
-        replay
+        simulation
     }
 
     fn run(&mut self) {
-        while let Some(((at, _), step)) = self.steps.pop_first() {
+        while let Some(((at, _), event)) = self.events.pop_first() {
             self.now = at;
-            match step {
-                Step::Next => self.on_next(),
-                Step::Ask(request) => self.on_ask(request),
-                Step::Offer(request) => self.on_offer(request),
-                Step::Hold(request, ticket) => self.on_hold(request, ticket),
-                Step::Finish(request) => self.on_finish(request),
-                Step::News(number) => self.on_news(number),
+            match event {
+                Event::NextRequest => self.on_next_request(),
+                Event::Send(request) => self.on_send(request),
+                Event::Arrive(request) => self.on_arrival(request),
+                Event::QueueTimeout(request, ticket) => self.on_queue_timeout(request, ticket),
+                Event::Finish(request) => self.on_finish(request),
+                Event::SendReport(number) => self.on_send_report(number),
             }
         }
     }
 
-    fn plan(&mut self, after: Duration, step: Step) {
-        self.planned += 1;
-        self.steps.insert((self.now + after, self.planned), step);
+    fn schedule(&mut self, after: Duration, event: Event) {
+        self.last_sequence += 1;
+        self.events.insert((self.now + after, self.last_sequence), event);
     }
 
     fn at(&self) -> Instant {
         self.epoch + self.now
     }
 
-    /// A new request, and the time of the one after it.
-    fn on_next(&mut self) {
+    /// Creates a new request and schedules the next one.
+    fn on_next_request(&mut self) {
         if self.now > END {
             return;
         }
         let request = Request {
             caller: self.arrivals.random_range(0..NODES),
             arrived: self.now,
-            work: draw_work(&mut self.arrivals),
+            work: sample_work(&mut self.arrivals),
             tried: Vec::new(),
             at: 0,
             service: Duration::ZERO,
@@ -223,14 +225,14 @@
             is_avoidable: false,
         };
         self.requests.push(request);
-        self.on_ask(self.requests.len() - 1);
+        self.on_send(self.requests.len() - 1);
         let speed: f64 = self.back_ends.iter().map(|back_end| back_end.speed).sum();
-        let per_second = speed * f64::from(SLOTS) / WORK.as_secs_f64() * self.load.share;
+        let per_second = speed * f64::from(SLOTS) / MEAN_WORK.as_secs_f64() * self.scenario.share;
         let pause = -(1.0 - self.arrivals.random::<f64>()).ln() / per_second;
-        self.plan(Duration::from_secs_f64(pause), Step::Next);
+        self.schedule(Duration::from_secs_f64(pause), Event::NextRequest);
     }
 
-    fn on_ask(&mut self, number: usize) {
+    fn on_send(&mut self, number: usize) {
         let Some(choice) = self.choose(number) else { return self.give_up(number) };
         let tried = self.requests[number].tried.len();
         if tried >= MAX_ATTEMPTS || (tried > BLIND_ATTEMPTS && !choice.has_free_slot) {
@@ -241,8 +243,8 @@
         request.service = choice.service;
         request.tried.push(choice.node.clone());
         self.callers[request.caller].on_sent(&self.service, &choice.node);
-        self.tally.attempts += u32::from(self.now >= WARM_UP);
-        self.plan(HOP, Step::Offer(number));
+        self.outcomes.attempts += u32::from(self.now >= WARM_UP);
+        self.schedule(HOP_LATENCY, Event::Arrive(number));
     }
 
     fn choose(&mut self, number: usize) -> Option<Choice> {
@@ -258,7 +260,7 @@
         self.callers[request.caller].choose(now, &mut self.random, &self.service, query)
     }
 
-    fn on_offer(&mut self, number: usize) {
+    fn on_arrival(&mut self, number: usize) {
         let (now, item) = (self.at(), self.item(number));
         let at = self.requests[number].at;
         match self.back_ends[at].queue.offer(now, item) {
@@ -266,13 +268,13 @@
             Decision::Wait(ticket) => {
                 self.back_ends[at].waiting.insert(ticket, number);
                 let hold = (item.queue_deadline - self.epoch).saturating_sub(self.now);
-                self.plan(hold, Step::Hold(number, ticket));
+                self.schedule(hold, Event::QueueTimeout(number, ticket));
             }
             Decision::Refuse(refusal) => {
-                let is_slowed = matches!(refusal, Refusal::BackEndSlow { .. });
-                self.tally.slowed += u32::from(is_slowed && self.now >= WARM_UP);
+                let is_slow_refusal = matches!(refusal, Refusal::BackEndSlow { .. });
+                self.outcomes.refused_as_slow += u32::from(is_slow_refusal && self.now >= WARM_UP);
                 self.on_refused(number);
-                self.plan(HOP, Step::Ask(number));
+                self.schedule(HOP_LATENCY, Event::Send(number));
             }
         }
     }
@@ -307,17 +309,18 @@
         let left = (request.arrived + OBJECTIVE).saturating_sub(self.now);
         let mut of_zone = (request.caller % ZONES.len()..NODES).step_by(ZONES.len());
         let has_better = of_zone.any(|other| {
-            self.back_ends[other].running < SLOTS && self.time_at(other, request.work) + HOP * 2 <= left
+            self.back_ends[other].running < SLOTS
+                && self.time_at(other, request.work) + HOP_LATENCY * 2 <= left
         });
         let request = &mut self.requests[number];
         request.started = self.now;
         request.is_avoidable = has_better && taken > left;
         let at = request.at;
         self.back_ends[at].running += 1;
-        self.plan(taken, Step::Finish(number));
+        self.schedule(taken, Event::Finish(number));
     }
 
-    fn on_hold(&mut self, number: usize, ticket: Ticket) {
+    fn on_queue_timeout(&mut self, number: usize, ticket: Ticket) {
         let back_end = &mut self.back_ends[self.requests[number].at];
         if back_end.waiting.remove(&ticket).is_some() {
             back_end.queue.withdraw(ticket);
@@ -332,19 +335,19 @@
         let taken = self.now - request.started;
         let BackEnd { queue, running, .. } = &mut self.back_ends[request.at];
         *running -= 1;
-        if self.load.tells {
-            queue.slowdown().on_word(now, percent).expect("a sensible figure");
+        if self.scenario.reports_slowdown {
+            queue.slowdown().on_word(now, percent).expect("the slowdown should be valid");
         }
         let usual = queue.slowdown().normalized_time(now, taken);
         queue.finish(Some(usual));
         let mut report = queue.report(now);
-        if !self.load.reaches_callers {
+        if !self.scenario.callers_get_slowdown {
             report.slowdown_percent = 0;
         }
         let node = name_of(request.at);
         let caller = &mut self.callers[request.caller];
         caller.on_ended(now, &self.service, &node, Observation::Answered(report));
-        let times = ResponseTimes { served: taken, overhead: HOP * 2 };
+        let times = ResponseTimes { served: taken, overhead: HOP_LATENCY * 2 };
         caller.on_response_times(now, &self.service, &self.route, &node, times);
         self.count(&request);
         self.start_waiting(request.at);
@@ -354,7 +357,7 @@
         let now = self.at();
         while let Some(started) = self.back_ends[at].queue.start_next(now) {
             let (Dequeued::Run(ticket) | Dequeued::Expire(ticket)) = started;
-            let number = self.back_ends[at].waiting.remove(&ticket).expect("it waits");
+            let number = self.back_ends[at].waiting.remove(&ticket).expect("the ticket should be waiting");
             match started {
                 Dequeued::Run(_) => self.start(number),
                 Dequeued::Expire(_) => self.on_refused(number),
@@ -362,25 +365,25 @@
         }
     }
 
-    fn on_news(&mut self, number: usize) {
+    fn on_send_report(&mut self, number: usize) {
         if self.now > END {
             return;
         }
         let now = self.at();
         let mut report = self.back_ends[number].queue.report(now);
-        if !self.load.reaches_callers {
+        if !self.scenario.callers_get_slowdown {
             report.slowdown_percent = 0;
         }
         for caller in &mut self.callers {
             caller.on_fresh_report(now, &self.service, &name_of(number), report);
         }
-        self.plan(self.load.news_every, Step::News(number));
+        self.schedule(self.scenario.report_interval, Event::SendReport(number));
     }
 
     fn on_refused(&mut self, number: usize) {
         let (now, at) = (self.at(), self.requests[number].at);
         let mut report = self.back_ends[at].queue.report(now);
-        if !self.load.reaches_callers {
+        if !self.scenario.callers_get_slowdown {
             report.slowdown_percent = 0;
         }
         let caller = &mut self.callers[self.requests[number].caller];
@@ -388,7 +391,7 @@
     }
 
     fn give_up(&mut self, number: usize) {
-        self.tally.refused += u32::from(self.requests[number].arrived >= WARM_UP);
+        self.outcomes.refused += u32::from(self.requests[number].arrived >= WARM_UP);
     }
 
     fn count(&mut self, request: &Request) {
@@ -396,9 +399,9 @@
             return;
         }
         let is_late = self.now - request.arrived > OBJECTIVE;
-        self.tally.late += u32::from(is_late);
-        self.tally.avoidable += u32::from(is_late && request.is_avoidable);
-        self.tally.in_time += u32::from(!is_late);
+        self.outcomes.late += u32::from(is_late);
+        self.outcomes.avoidable += u32::from(is_late && request.is_avoidable);
+        self.outcomes.in_time += u32::from(!is_late);
     }
 
     fn time_at(&self, at: usize, work: Duration) -> Duration {
@@ -406,26 +409,27 @@
         work.mul_f64(slowdown / self.back_ends[at].speed)
     }
 
-    /// Hundredths of the usual time that work takes there now.
+    /// Current service time of a back end in percent of the usual one.
     fn percent(&self, at: usize) -> u16 {
-        let spell = (self.now.as_secs_f64() / SPELL.as_secs_f64() + at as f64 / NODES as f64) as u64;
-        let mut drawn = ChaCha8Rng::seed_from_u64(self.load.seed ^ spell << 8 ^ (at as u64) << 40);
-        let is_slow = self.load.has_spells && drawn.random::<f64>() < SLOW_SHARE;
+        let interval =
+            (self.now.as_secs_f64() / SLOW_INTERVAL.as_secs_f64() + at as f64 / NODES as f64) as u64;
+        let mut drawn = ChaCha8Rng::seed_from_u64(self.scenario.seed ^ interval << 8 ^ (at as u64) << 40);
+        let is_slow = self.scenario.has_slow_intervals && drawn.random::<f64>() < SLOW_SHARE;
         if is_slow { SLOW_PERCENT } else { 100 }
     }
 }
 
-/// About lognormal; some take many times as long.
-fn draw_work(random: &mut ChaCha8Rng) -> Duration {
+/// Returns an approximately lognormal service time; some are several times as long.
+fn sample_work(random: &mut ChaCha8Rng) -> Duration {
     let normal = (0..12).map(|_| random.random::<f64>()).sum::<f64>() - 6.0;
     let ratio = (WORK_SPREAD * normal - WORK_SPREAD.powi(2) / 2.0).exp();
     let is_tail = random.random::<f64>() < TAIL_SHARE;
     let factor = if is_tail { TAIL_FACTOR } else { 1.0 };
-    WORK.mul_f64(ratio * factor / (1.0 + TAIL_SHARE * (TAIL_FACTOR - 1.0)))
+    MEAN_WORK.mul_f64(ratio * factor / (1.0 + TAIL_SHARE * (TAIL_FACTOR - 1.0)))
 }
 
 fn parsed<N: std::str::FromStr>(text: &str) -> N {
-    text.parse().ok().expect("a valid name")
+    text.parse().ok().expect("the name should be valid")
 }
 
 fn name_of(number: usize) -> NodeName {
@@ -433,15 +437,15 @@
 }
 
 fn number_of(node: &NodeName) -> usize {
-    node.as_str().trim_start_matches("node-").parse().expect("a node of this load")
+    node.as_str().trim_start_matches("node-").parse().expect("the name should be that of a simulated node")
 }
 
 fn endpoint(number: usize) -> Endpoint {
     Endpoint {
         node: name_of(number),
-        address: "10.0.0.1:80".parse().expect("an address"),
+        address: "10.0.0.1:80".parse().expect("the address should be valid"),
         locality: Locality { region: parsed("north"), zone: parsed(ZONES[number % ZONES.len()]) },
-        instance: format!("life-of-{number}"),
+        instance: format!("process-of-{number}"),
         release: None,
         slots: SLOTS,
         is_cold: false,
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -1,4 +1,4 @@
-//! What is known of the speed of back ends, now and usually.
+//! Tests the estimates of the usual and the current speed of back ends.
 
 use std::time::{Duration, Instant};
 
@@ -12,11 +12,11 @@
 };
 
 const SLOTS: u32 = 4;
-/// Longer than any word of a back end counts.
-const LONG: Duration = Duration::from_secs(1);
+/// Longer than any reported slowdown is valid.
+const REPORT_EXPIRY: Duration = Duration::from_secs(1);
 
 fn name<N: std::str::FromStr>(text: &str) -> N {
-    text.parse().ok().expect("a valid name")
+    text.parse().ok().expect("the name should be valid")
 }
 
 fn locality() -> Locality {
@@ -28,7 +28,7 @@
         node: node(number),
         address: "10.0.0.1:80".parse().unwrap(),
         locality: locality(),
-        instance: format!("life-of-{number}"),
+        instance: format!("process-of-{number}"),
         release: None,
         slots: SLOTS,
         is_cold: false,
@@ -44,7 +44,7 @@
     LoadReport { number, running, slots: SLOTS, service_micros, slowdown_percent, ..LoadReport::default() }
 }
 
-struct World {
+struct Fixture {
     selector: Selector,
     random: ChaCha8Rng,
     service: ServiceName,
@@ -52,7 +52,7 @@
     now: Instant,
 }
 
-impl World {
+impl Fixture {
     fn new(count: usize) -> Self {
         let settings = SelectorSettings { draw: SamplingSettings::BY_SPEED, ..SelectorSettings::default() };
         let mut selector = Selector::new(locality(), settings);
@@ -61,7 +61,7 @@
         Self { selector, random: ChaCha8Rng::seed_from_u64(1), service, route: name("route"), now }
     }
 
-    fn told(&mut self, number: usize, report: LoadReport) {
+    fn report_load(&mut self, number: usize, report: LoadReport) {
         self.selector.on_fresh_report(self.now, &self.service, &node(number), report);
     }
 
@@ -76,103 +76,109 @@
         self.selector.choose(self.now, &mut self.random, &self.service, query).unwrap()
     }
 
-    /// Of 1,000 choices, those of this endpoint.
-    fn chosen(&mut self, number: usize) -> usize {
+    /// Number of times that this endpoint is selected in 1,000 selections.
+    fn selection_count(&mut self, number: usize) -> usize {
         (0..1_000).filter(|_| self.choose().node == node(number)).count()
     }
 }
 
 #[test]
-fn a_back_end_that_is_slow_at_this_moment_is_avoided_while_its_word_is_fresh() {
-    let mut world = World::new(2);
-    world.told(0, report(1, 1, 50, 250));
-    world.told(1, report(1, 1, 60, 100));
-    assert_eq!(world.chosen(0), 0);
-    world.now += Duration::from_millis(100);
-    assert_eq!(world.chosen(0), 0);
+fn slow_back_end_is_avoided_while_its_report_is_fresh() {
+    let mut fixture = Fixture::new(2);
+    fixture.report_load(0, report(1, 1, 50, 250));
+    fixture.report_load(1, report(1, 1, 60, 100));
+    assert_eq!(fixture.selection_count(0), 0);
+    fixture.now += Duration::from_millis(100);
+    assert_eq!(fixture.selection_count(0), 0);
 }
 
-/// Its node is cut off, or its word was lost: a caller's node goes by the mean, whatever was told last.
+/// If the node of a back end is unreachable or its reports are lost, the selection uses the mean service
+/// time, whatever the last report contained.
 #[test]
-fn without_fresh_news_the_mean_counts() {
-    let mut world = World::new(2);
-    world.told(0, report(1, 1, 40, 250));
-    world.told(1, report(1, 1, 60, 100));
-    world.now += LONG;
-    assert_eq!(world.chosen(0), 1_000);
+fn mean_service_time_is_used_without_fresh_reports() {
+    let mut fixture = Fixture::new(2);
+    fixture.report_load(0, report(1, 1, 40, 250));
+    fixture.report_load(1, report(1, 1, 60, 100));
+    fixture.now += REPORT_EXPIRY;
+    assert_eq!(fixture.selection_count(0), 1_000);
 }
 
 #[test]
-fn a_report_of_unknown_age_tells_nothing_of_this_moment() {
-    let mut world = World::new(2);
-    world.selector.on_report(&world.service, &node(0), report(1, 1, 40, 250));
-    world.told(1, report(1, 1, 60, 100));
-    assert_eq!(world.chosen(0), 1_000);
+fn slowdown_in_a_report_of_unknown_age_is_ignored() {
+    let mut fixture = Fixture::new(2);
+    fixture.selector.on_report(&fixture.service, &node(0), report(1, 1, 40, 250));
+    fixture.report_load(1, report(1, 1, 60, 100));
+    assert_eq!(fixture.selection_count(0), 1_000);
 }
 
 #[test]
-fn a_report_without_the_figure_ends_the_one_before() {
-    let mut world = World::new(2);
-    world.told(0, report(1, 1, 40, 250));
-    world.told(0, report(2, 1, 40, 0));
-    world.told(1, report(1, 1, 60, 100));
-    assert_eq!(world.chosen(0), 1_000);
+fn report_without_slowdown_resets_the_previous_one() {
+    let mut fixture = Fixture::new(2);
+    fixture.report_load(0, report(1, 1, 40, 250));
+    fixture.report_load(0, report(2, 1, 40, 0));
+    fixture.report_load(1, report(1, 1, 60, 100));
+    assert_eq!(fixture.selection_count(0), 1_000);
 }
 
-/// Times in a spell would otherwise be held against the back end after it, and be scaled twice in the next one.
+/// Service times of a slow interval would otherwise count against the back end afterwards, and be scaled
+/// twice in the next slow interval.
 #[test]
-fn times_are_learnt_as_those_of_the_usual_speed() {
-    let mut world = World::new(1);
+fn service_times_are_recorded_at_the_usual_speed() {
+    let mut fixture = Fixture::new(1);
     for number in 1..=10 {
         let slow = Observation::Answered(report(number, 1, 100, 250));
-        world.selector.on_sent(&world.service, &node(0));
-        world.selector.on_ended(world.now, &world.service, &node(0), slow);
+        fixture.selector.on_sent(&fixture.service, &node(0));
+        fixture.selector.on_ended(fixture.now, &fixture.service, &node(0), slow);
         let times = ResponseTimes { served: Duration::from_millis(250), overhead: Duration::ZERO };
-        world.selector.on_response_times(world.now, &world.service, &world.route, &node(0), times);
+        fixture.selector.on_response_times(fixture.now, &fixture.service, &fixture.route, &node(0), times);
     }
-    assert_eq!(world.choose().service, Duration::from_millis(100));
-    world.now += LONG;
-    assert_eq!(world.choose().service, Duration::from_millis(100));
+    assert_eq!(fixture.choose().service, Duration::from_millis(100));
+    fixture.now += REPORT_EXPIRY;
+    assert_eq!(fixture.choose().service, Duration::from_millis(100));
 }
 
-/// The emptiest of ten is found as often as it is among those drawn.
-fn chosen_emptiest(fastest_millis: u32, running: u32) -> usize {
-    let mut world = World::new(10);
-    world.told(0, report(1, running - 1, 60, 0));
+/// Number of times that the emptiest of ten endpoints is selected, which is the number of times that it is in
+/// the sample.
+fn emptiest_selection_count(fastest_millis: u32, running: u32) -> usize {
+    let mut fixture = Fixture::new(10);
+    fixture.report_load(0, report(1, running - 1, 60, 0));
     for number in 1..10 {
         let millis = if number == 1 { fastest_millis } else { 60 };
-        world.told(number, report(1, running + 2, millis, 0));
+        fixture.report_load(number, report(1, running + 2, millis, 0));
     }
-    world.chosen(0)
+    fixture.selection_count(0)
 }
 
 #[test]
-fn where_back_ends_are_about_alike_two_are_drawn() {
+fn two_of_similar_back_ends_are_sampled() {
     for millis in [60, 40] {
-        let chosen = chosen_emptiest(millis, 2);
-        assert!((120..=300).contains(&chosen), "{chosen} of 1,000 with one of {millis} ms");
+        let selection_count = emptiest_selection_count(millis, 2);
+        assert!(
+            (120..=300).contains(&selection_count),
+            "{selection_count} of 1,000 with one endpoint of {millis} ms"
+        );
     }
 }
 
 #[test]
-fn where_back_ends_are_uneven_and_have_room_more_are_drawn() {
-    let mut world = World::new(10);
+fn more_of_uneven_back_ends_with_free_slots_are_sampled() {
+    let mut fixture = Fixture::new(10);
     for number in 0..10 {
         let millis = [30, 60, 60, 90, 120][number % 5];
-        world.told(number, report(1, 1, millis, 0));
+        fixture.report_load(number, report(1, 1, millis, 0));
     }
-    let fast = world.chosen(0) + world.chosen(5);
+    let fast = fixture.selection_count(0) + fixture.selection_count(5);
     assert!(fast > 900, "{fast} of 1,000 go to one of the two fast ones");
 }
 
-/// With all slots taken each counts alike: two are drawn, and the slow ones as often as the fast ones.
+/// With all slots taken, all endpoints count the same: two are sampled, and slow ones as often as fast ones.
 #[test]
-fn where_all_slots_are_taken_slow_back_ends_are_drawn_as_often() {
-    let mut world = World::new(10);
+fn slow_back_ends_are_sampled_equally_while_all_slots_are_taken() {
+    let mut fixture = Fixture::new(10);
     for number in 0..10 {
         let (millis, running) = if number == 9 { (120, 3) } else { (30, 40) };
-        world.told(number, report(1, running, millis, 0));
+        fixture.report_load(number, report(1, running, millis, 0));
     }
-    let chosen = world.chosen(9);
-    assert!((120..=300).contains(&chosen), "{chosen} of 1,000");
+    let selection_count = fixture.selection_count(9);
+    assert!((120..=300).contains(&selection_count), "{selection_count} of 1,000");
 }
--- a/crates/selection/tests/uneven.rs
+++ b/crates/selection/tests/uneven.rs
@@ -1,97 +1,110 @@
-//! Back ends of unequal speed, of which some are slow for a moment, replayed with several callers' nodes whose news is old.
+//! Simulates back ends of unequal speed, some of which are temporarily slow, and calling nodes with outdated
+//! load reports.
 
-mod replay;
+mod simulation;
 
 use std::time::Duration;
 
-use replay::{Load, Tally, play};
+use simulation::{Outcomes, Scenario, simulate};
 use umberpond_selection::SamplingSettings;
 
-/// Work that comes, as a share of what all slots can do at their usual speed.
-const CALM: f64 = 0.33;
-const BUSY: f64 = 0.6;
-const FULL: f64 = 1.2;
-/// Two endpoints are drawn, all with the same weight.
-const EVEN_DRAW: SamplingSettings = SamplingSettings { count: 2, uneven_count: 2, speed_power: 0.0 };
-/// Part of the requests by which two ways may differ where neither is meant to be better: chance alone makes up less.
+/// Offered load as a share of the capacity of all slots at their usual speed.
+const LOW_LOAD: f64 = 0.33;
+const HIGH_LOAD: f64 = 0.6;
+const OVERLOAD: f64 = 1.2;
+/// Samples two endpoints with equal weights.
+const UNIFORM_SAMPLING: SamplingSettings =
+    SamplingSettings { count: 2, uneven_count: 2, speed_exponent: 0.0 };
+/// Relative difference that is tolerated where neither variant should be better: chance accounts for less.
 const TOLERANCE: f64 = 0.005;
 
-const fn load(share: f64) -> Load {
-    Load {
+const fn scenario(share: f64) -> Scenario {
+    Scenario {
         share,
         speeds: [0.5, 1.0, 1.0, 1.5],
-        has_spells: false,
-        tells: false,
-        reaches_callers: false,
-        news_every: Duration::from_millis(300),
-        draw: EVEN_DRAW,
+        has_slow_intervals: false,
+        reports_slowdown: false,
+        callers_get_slowdown: false,
+        report_interval: Duration::from_millis(300),
+        draw: UNIFORM_SAMPLING,
         seed: 0,
     }
 }
 
-/// What became of the requests over some seeds.
-fn play_seeds(load: Load, seeds: u64) -> Tally {
-    let playing = (1..=seeds).map(|seed| std::thread::spawn(move || play(Load { seed, ..load })));
-    let playing: Vec<_> = playing.collect();
-    let tallies = playing.into_iter().map(|playing| playing.join().expect("it is played to its end"));
-    tallies.fold(Tally::default(), Tally::plus)
+/// Outcomes of the requests over some seeds.
+fn simulate_seeds(scenario: Scenario, seeds: u64) -> Outcomes {
+    let threads = (1..=seeds).map(|seed| std::thread::spawn(move || simulate(Scenario { seed, ..scenario })));
+    let threads: Vec<_> = threads.collect();
+    let outcomes =
+        threads.into_iter().map(|threads| threads.join().expect("the simulation should not panic"));
+    outcomes.fold(Outcomes::default(), Outcomes::add)
 }
 
 fn is_no_less(after: u32, before: u32) -> bool {
     f64::from(after) >= f64::from(before) * (1.0 - TOLERANCE)
 }
 
-/// With a third of the slots in use, two drawn at random are now and then both slow.
+/// With a third of the slots in use, both of two endpoints sampled at random are sometimes slow.
 #[test]
-fn in_a_calm_half_as_many_answers_are_late_though_another_back_end_was_free() {
-    let before = play_seeds(load(CALM), 12);
-    let after = play_seeds(Load { draw: SamplingSettings::BY_SPEED, ..load(CALM) }, 12);
+fn sampling_by_speed_halves_avoidable_late_responses_under_low_load() {
+    let before = simulate_seeds(scenario(LOW_LOAD), 12);
+    let after = simulate_seeds(Scenario { draw: SamplingSettings::BY_SPEED, ..scenario(LOW_LOAD) }, 12);
     assert!(after.avoidable * 2 <= before.avoidable, "{before:?}, {after:?}");
     assert!(after.late < before.late && after.refused <= before.refused + 5, "{before:?}, {after:?}");
 }
 
-/// With more work than the slots can do, each slot counts alike.
+/// With more load than the slots can process, all slots count the same.
 #[test]
-fn under_more_work_than_can_be_done_as_many_requests_are_in_time() {
-    let before = play_seeds(load(FULL), 4);
-    let after = play_seeds(Load { draw: SamplingSettings::BY_SPEED, ..load(FULL) }, 4);
+fn sampling_by_speed_loses_no_timely_responses_under_overload() {
+    let before = simulate_seeds(scenario(OVERLOAD), 4);
+    let after = simulate_seeds(Scenario { draw: SamplingSettings::BY_SPEED, ..scenario(OVERLOAD) }, 4);
     assert!(is_no_less(after.in_time, before.in_time), "{before:?}, {after:?}");
 }
 
-/// The nodes beside the back ends refuse what would be late there, and callers' nodes go by what is told while it is fresh.
+/// The nodes in front of the back ends refuse requests that would be late there, and the calling nodes use
+/// the reported slowdown while it is fresh.
 #[test]
-fn reading_how_slow_a_back_end_is_spares_a_third_of_the_late_answers_that_another_had_given_in_time() {
-    let silent = Load { has_spells: true, draw: SamplingSettings::BY_SPEED, ..load(BUSY) };
-    let before = play_seeds(silent, 4);
-    let after = play_seeds(Load { tells: true, reaches_callers: true, ..silent }, 4);
+fn reported_slowdowns_avoid_a_third_of_avoidable_late_responses() {
+    let without_reports =
+        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
+    let before = simulate_seeds(without_reports, 4);
+    let after =
+        simulate_seeds(Scenario { reports_slowdown: true, callers_get_slowdown: true, ..without_reports }, 4);
     assert!(after.avoidable * 3 <= before.avoidable * 2, "{before:?}, {after:?}");
     assert!(after.late < before.late && after.refused <= before.refused, "{before:?}, {after:?}");
 }
 
-/// Also of those that no other back end would have answered in time as it stood when they were sent.
+/// Includes late responses that no other back end could have given in time in its state when the request was
+/// sent.
 #[test]
-fn reading_how_slow_a_back_end_is_spares_a_third_of_all_late_answers() {
-    let silent = Load { has_spells: true, draw: SamplingSettings::BY_SPEED, ..load(BUSY) };
-    let before = play_seeds(silent, 4);
-    let after = play_seeds(Load { tells: true, reaches_callers: true, ..silent }, 4);
+fn reported_slowdowns_avoid_a_third_of_all_late_responses() {
+    let without_reports =
+        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
+    let before = simulate_seeds(without_reports, 4);
+    let after =
+        simulate_seeds(Scenario { reports_slowdown: true, callers_get_slowdown: true, ..without_reports }, 4);
     assert!(after.late * 3 <= before.late * 2, "{before:?}, {after:?}");
 }
 
 #[test]
-fn under_more_work_than_can_be_done_reading_it_costs_no_answer_in_time() {
-    let silent = Load { has_spells: true, draw: SamplingSettings::BY_SPEED, ..load(FULL) };
-    let before = play_seeds(silent, 4);
-    let after = play_seeds(Load { tells: true, reaches_callers: true, ..silent }, 4);
+fn reported_slowdowns_lose_no_timely_responses_under_overload() {
+    let without_reports =
+        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(OVERLOAD) };
+    let before = simulate_seeds(without_reports, 4);
+    let after =
+        simulate_seeds(Scenario { reports_slowdown: true, callers_get_slowdown: true, ..without_reports }, 4);
     assert!(after.late < before.late, "{before:?}, {after:?}");
     assert!(is_no_less(after.in_time, before.in_time), "{before:?}, {after:?}");
 }
 
-/// Callers' nodes that are cut off from the news of slow back ends go by the means; the nodes beside the back ends still refuse.
+/// Calling nodes that do not receive the slowdown of back ends use the mean service times; the nodes in front
+/// of the back ends still refuse requests.
 #[test]
-fn without_fresh_news_at_the_callers_the_refusals_alone_spare_late_answers() {
-    let silent = Load { has_spells: true, draw: SamplingSettings::BY_SPEED, ..load(BUSY) };
-    let before = play_seeds(silent, 4);
-    let after = play_seeds(Load { tells: true, ..silent }, 4);
-    assert!(after.late < before.late && after.slowed > 0, "{before:?}, {after:?}");
+fn refusals_alone_avoid_late_responses_if_callers_get_no_slowdowns() {
+    let without_reports =
+        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
+    let before = simulate_seeds(without_reports, 4);
+    let after = simulate_seeds(Scenario { reports_slowdown: true, ..without_reports }, 4);
+    assert!(after.late < before.late && after.refused_as_slow > 0, "{before:?}, {after:?}");
     assert!(is_no_less(after.in_time, before.in_time), "{before:?}, {after:?}");
 }
