--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -1,4 +1,4 @@
-//! Refuses runs that would fail for want of their calls, before they hold a slot.
+//! Refuses runs whose calls would probably be refused, before they occupy a slot.
 
 use parking_lot::Mutex;
 use umberpond_model::ServiceName;
@@ -9,35 +9,35 @@
 use crate::outcome::NotRunReason;
 use crate::retries::RunContext;
 
-/// How the calls fare that the back end beside this node makes, and which of its runs may begin.
+/// Tracks the outcomes of the calls that the local back end makes, and decides which of its runs may begin.
 #[derive(Debug, Default)]
 pub(crate) struct CallGate {
     outlook: Mutex<CallFailureEstimator>,
 }
 
 impl CallGate {
-    /// Takes in the reply to a call to `service` that `run` made.
+    /// Records the reply to a call to `service` that `run` made.
     pub(crate) fn on_reply(&self, service: &ServiceName, run: &RunContext, reply: &Reply) {
-        let end = end_of(reply);
+        let end = call_outcome(reply);
         self.outlook.lock().record_call(now(), service, run.priority, run.level, end);
     }
 
-    /// Takes in whether a run that has ended made calls.
+    /// Records whether a run that has ended made calls.
     pub(crate) fn on_run_ended(&self, route: u32, has_called: bool) {
         self.outlook.lock().record_run(route, has_called);
     }
 
-    /// Whether a run may begin while others want its slot.
+    /// Decides whether a run may begin while others wait for its slot.
     ///
     /// # Errors
-    /// Returns [`RunRefusal`] if it is better refused.
+    /// Returns [`RunRefusal`] if the run should be refused.
     pub(crate) fn begin_run(&self, plan: &PendingRun<'_>) -> Result<(), RunRefusal> {
         self.outlook.lock().begin_run(now(), plan)
     }
 }
 
-/// How a call ended by the reply to it.
-const fn end_of(reply: &Reply) -> CallOutcome {
+/// Derives the outcome of a call from the reply to it.
+const fn call_outcome(reply: &Reply) -> CallOutcome {
     match reply.reason {
         Some(ReplyReason::NotRun(
             NotRunReason::Overloaded | NotRunReason::BackEndFull | NotRunReason::CallsOverloaded,
--- a/crates/forwarding/src/calls/inherited.rs
+++ b/crates/forwarding/src/calls/inherited.rs
@@ -1,4 +1,4 @@
-//! What a call takes over from its run, whatever the back end sends with it.
+//! Properties that a call inherits from its run, whatever fields the back end sends with it.
 
 use std::time::Duration;
 
@@ -6,13 +6,14 @@
 
 use crate::retries::RunContext;
 
-/// Rank of a request whose route, or tenant, gives it the rank `own`: a call is as urgent as its run.
+/// Priority rank of a request whose route or tenant has the rank `own`: a call is at least as urgent as its
+/// run.
 pub(crate) fn inherited_priority(own: u8, run: Option<&RunContext>) -> u8 {
     run.map_or(own, |run| run.priority.min(own))
 }
 
-/// Longest time to the answer of a request that has arrived at `arrived` and has `own` by its caller and its route: an answer that comes after the end
-/// of the run is of no use.
+/// Timeout of a request that arrived at `arrived`, where `own` is the timeout set by its caller and route: a
+/// response after the deadline of the run is useless.
 pub(crate) fn inherited_timeout(own: Duration, arrived: Instant, run: Option<&RunContext>) -> Duration {
     run.map_or(own, |run| run.deadline.saturating_duration_since(arrived).min(own))
 }
--- a/crates/forwarding/src/calls/mod.rs
+++ b/crates/forwarding/src/calls/mod.rs
@@ -1,4 +1,4 @@
-//! Calls: requests that a run at the back end beside this node makes, and for which it holds its slot.
+//! Calls: requests that a run at the local back end makes while it occupies its slot.
 
 mod gate;
 mod inherited;
--- a/crates/forwarding/src/calls/tests.rs
+++ b/crates/forwarding/src/calls/tests.rs
@@ -1,4 +1,4 @@
-//! What calls take over from their runs.
+//! Tests the properties that calls inherit from their runs.
 
 use std::time::Duration;
 
@@ -13,7 +13,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_call_is_as_urgent_as_its_run_and_ends_with_it() {
+async fn call_inherits_the_priority_and_deadline_of_its_run() {
     let now = Instant::now();
     let own = Duration::from_millis(400);
     let run_of = |priority, left| run(priority, now + Duration::from_millis(left));
--- a/crates/forwarding/src/routing/compile.rs
+++ b/crates/forwarding/src/routing/compile.rs
@@ -11,35 +11,35 @@
 use super::table::{CompiledRoute, MethodRoute, RoutingTable, WeightedService};
 use super::tenants::TenantTable;
 
-/// A configuration that can't be put in force. Nothing changes when this is returned.
+/// Reasons why a configuration cannot be activated. The active configuration stays unchanged.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CompileError {
-    /// A route points at a service that the configuration lacks.
-    #[error("route `{route}` points at service `{service}`, which the configuration lacks")]
+    /// A route refers to a service that is not in the configuration.
+    #[error("route `{route}` refers to service `{service}`, which is not in the configuration")]
     MissingService {
         /// The route.
         route: RouteName,
-        /// The service it points at.
+        /// The missing service.
         service: ServiceName,
     },
-    /// A route needs a secret that this node has not opened.
-    #[error("route `{route}` needs secret `{secret}`, which this node lacks")]
+    /// A route needs a secret that this node has not decrypted.
+    #[error("route `{route}` needs secret `{secret}`, which is not available on this node")]
     MissingSecret {
         /// The route.
         route: RouteName,
-        /// The secret.
+        /// The missing secret.
         secret: SecretName,
     },
 }
 
-/// Values of the secrets that this node has opened.
+/// Values of the secrets that this node has decrypted.
 pub type OpenedSecrets = BTreeMap<SecretName, Vec<u8>>;
 
 impl RoutingTable {
     /// Compiles the routes of `snapshot` that `caller` may use.
     ///
     /// # Errors
-    /// Returns [`CompileError`] if a reference does not resolve; nothing is compiled in part.
+    /// Returns [`CompileError`] if a reference cannot be resolved; there is no partial result.
     pub fn compile(
         version: Version,
         snapshot: &Snapshot,
@@ -65,7 +65,8 @@
     }
 }
 
-/// Order among routes of one prefix: those that list methods first, then those that may not repeat.
+/// Order of routes with the same prefix: those that list methods come first, then those that are not
+/// idempotent.
 fn precedence(route: &MethodRoute) -> (bool, bool, &RouteName) {
     (route.methods.is_empty(), route.route.is_idempotent, &route.route.name)
 }
--- a/crates/forwarding/src/routing/mod.rs
+++ b/crates/forwarding/src/routing/mod.rs
@@ -1,4 +1,4 @@
-//! Which route a request takes.
+//! Matches requests to routes.
 
 mod compile;
 mod split;
--- a/crates/forwarding/src/routing/table.rs
+++ b/crates/forwarding/src/routing/table.rs
@@ -1,4 +1,4 @@
-//! The compiled routes of one version, and the look-up in them.
+//! Compiled routes of one configuration version, and the lookup of routes.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -19,66 +19,67 @@
     pub weight: u32,
 }
 
-/// One route, ready for use.
+/// A compiled route.
 #[derive(Debug, Clone)]
 pub struct CompiledRoute {
     /// Name of the route.
     pub name: RouteName,
-    /// Hash of the name; all nodes use the same.
+    /// Hash of the name; the same on all nodes.
     pub number: u32,
-    /// Services among which the requests are divided; never empty.
+    /// Services that the requests are distributed to; never empty.
     pub destinations: Vec<WeightedService>,
     /// Whether a request may run more than once.
     pub is_idempotent: bool,
-    /// Kind of its requests.
+    /// Class of its requests.
     pub class: RequestClass,
-    /// Rank among the requests for one back end: 0 is served first.
+    /// Priority rank among the requests for one back end: 0 is served first.
     pub priority: u8,
-    /// Most back ends to which one request may be sent.
+    /// Maximum number of back ends that one request may be sent to.
     pub attempts: u32,
-    /// Longest time of a request, all attempts included.
+    /// Timeout of a request, all attempts included.
     pub timeout: Duration,
-    /// Time within which an answer is of full use.
+    /// Time within which a response is fully useful.
     pub objective: Duration,
-    /// Header fields set from secrets.
+    /// Header fields whose values are secrets.
     pub credentials: Vec<(String, Vec<u8>)>,
-    /// Whose requests it takes, and where they may be served.
+    /// Which callers may use it, and where its requests may be served.
     pub access: RouteAccess,
 }
 
-/// A request that no route matches.
+/// Reasons why no route matches a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NoRoute {
-    /// No route names this host.
-    #[error("no route names this host")]
+    /// No route is defined for this host.
+    #[error("no route is defined for this host")]
     UnknownHost,
-    /// No route of the host begins the path.
-    #[error("no route of the host begins the path")]
+    /// No route of the host has a prefix of the path.
+    #[error("no route of the host matches the path")]
     NoMatch,
 }
 
-/// Routes of one host by path prefix, without its trailing slash.
+/// Routes of one host by path prefix without trailing slash.
 pub(super) type HostRoutes = HashMap<Box<str>, Vec<MethodRoute>>;
 
-/// A route and the methods it serves.
+/// A route and the methods it accepts.
 #[derive(Debug, Clone)]
 pub(super) struct MethodRoute {
-    /// All methods if empty.
+    /// All methods if this is empty.
     pub(super) methods: Vec<String>,
-    /// Whether the prefix ends with a slash, which the path must have too.
+    /// Whether the prefix ends with a slash, which the path must then contain too.
     pub(super) needs_slash: bool,
     pub(super) route: Arc<CompiledRoute>,
 }
 
 impl MethodRoute {
-    /// `is_whole_path`: the prefix without its slash is the whole path.
+    /// Whether the route accepts `method`. `is_whole_path` is set if the prefix without its slash is the
+    /// whole path.
     fn serves(&self, method: &[u8], is_whole_path: bool) -> bool {
         let serves_method = || self.methods.iter().any(|served| served.as_bytes() == method);
         !(is_whole_path && self.needs_slash) && (self.methods.is_empty() || serves_method())
     }
 }
 
-/// The compiled routes of one version. Immutable; swapped as a whole.
+/// The compiled routes of one configuration version. Immutable, and replaced as a whole.
 #[derive(Debug)]
 pub struct RoutingTable {
     pub(super) version: Version,
@@ -101,39 +102,40 @@
         &self.limits
     }
 
-    /// Whether the configuration lets `service` be served in `locality`. A service that it does not know is not
-    /// restricted: no route goes there.
+    /// Whether the configuration allows serving `service` in `locality`. An unknown service isn't restricted:
+    /// no route leads to it.
     #[must_use]
     pub fn allows(&self, service: &ServiceName, locality: &Locality) -> bool {
         self.services.get(service).is_none_or(|service| service.allows(locality))
     }
 
-    /// Requests that a cold back end of `service` bears, if the configuration names a rate.
+    /// Request rate that a cold back end of `service` can handle, if configured.
     #[must_use]
     pub fn cold_rate(&self, service: &ServiceName) -> Option<RequestRate> {
         self.services.get(service)?.cold_rate
     }
 
-    /// The tenants.
+    /// The tenants of the configuration.
     #[must_use]
     pub const fn tenants(&self) -> &Arc<TenantTable> {
         &self.tenants
     }
 
-    /// Count of routes.
+    /// Number of routes.
     #[must_use]
     pub fn len(&self) -> usize {
         self.hosts.values().flat_map(HashMap::values).map(Vec::len).sum()
     }
 
-    /// Whether there is no route.
+    /// Whether there are no routes.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.hosts.is_empty()
     }
 
-    /// The route of a request: of those of `host` whose prefix begins `path`, the one with the longest prefix. A
-    /// prefix ends at a path segment; one that ends with a slash does not match the path without it. `host` may carry a port, `target` a query.
+    /// Finds the route of a request: among the routes of `host` whose prefix matches `path`, the one with the
+    /// longest prefix. A prefix matches whole path segments; one that ends with a slash does not match the
+    /// path without it. `host` may include a port, and `target` a query.
     ///
     /// # Errors
     /// Returns [`NoRoute`] if nothing matches.
--- a/crates/forwarding/src/routing/tenants.rs
+++ b/crates/forwarding/src/routing/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants of one version, found by their keys.
+//! Tenants of one configuration version, with lookup by API key.
 
 use std::collections::{BTreeMap, HashMap};
 use std::sync::Arc;
@@ -7,18 +7,18 @@
 use umberpond_config::{Entries, KeyHash, Tenant};
 use umberpond_model::TenantName;
 
-/// Why a request on a route that is not public is of no tenant.
+/// Reasons why a request on a non-public route belongs to no tenant.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum NoTenant {
-    /// It carries no key.
-    #[error("it carries no key")]
+    /// The request has no key.
+    #[error("the request has no key")]
     NoKey,
     /// No tenant has the key.
     #[error("no tenant has the key")]
     UnknownKey,
 }
 
-/// The tenants of one version. Immutable.
+/// The tenants of one configuration version. Immutable.
 #[derive(Debug, Default)]
 pub struct TenantTable {
     by_key: HashMap<u64, Vec<(KeyHash, Arc<Tenant>)>>,
@@ -38,16 +38,16 @@
         table
     }
 
-    /// Whether the configuration has no tenants, so that no request needs a key.
+    /// Whether the configuration has no tenants, so that requests need no key.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.by_name.is_empty()
     }
 
-    /// The tenant that has `key`.
+    /// Finds the tenant that owns `key`.
     ///
     /// # Errors
-    /// Returns [`NoTenant`] if there is no key, or none has it.
+    /// Returns [`NoTenant`] if there is no key, or no tenant owns it.
     pub fn find(&self, key: Option<&[u8]>) -> Result<&Arc<Tenant>, NoTenant> {
         let hash = KeyHash::of(key.ok_or(NoTenant::NoKey)?);
         let candidates = self.by_key.get(&hash.prefix()).into_iter().flatten();
@@ -55,13 +55,13 @@
         found.next().map(|(_, tenant)| tenant).ok_or(NoTenant::UnknownKey)
     }
 
-    /// Whether there is a tenant called `name`.
+    /// Whether there is a tenant with this name.
     #[must_use]
     pub fn knows(&self, name: &TenantName) -> bool {
         self.by_name.contains_key(name)
     }
 
-    /// All tenants.
+    /// Iterates over all tenants.
     pub fn iter(&self) -> impl Iterator<Item = &Arc<Tenant>> {
         self.by_name.values()
     }
--- a/crates/forwarding/tests/places.rs
+++ b/crates/forwarding/tests/places.rs
@@ -1,4 +1,4 @@
-//! Where a request may be served, and which node a caller's own key belongs to.
+//! Tests where a request may be served, and which node handles a caller's idempotency key.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use umberpond_model::LocalityRule;
 
 #[tokio::test(start_paused = true)]
-async fn a_request_is_served_only_where_the_configuration_allows() {
+async fn request_is_served_only_in_allowed_regions() {
     let mut world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     world.served[1].endpoint.locality.region = name("south");
     world.publish_endpoints();
@@ -23,11 +23,15 @@
     archive.allowed = vec![LocalityRule { region: name("east"), zone: None }];
     changed.services.insert(archive.name.clone(), Entry::new(archive));
     world.activate(3, &changed);
-    assert_eq!(world.caller().await.ask("/read/a", "r").await.status, 503, "nowhere rather than elsewhere");
+    assert_eq!(
+        world.caller().await.ask("/read/a", "r").await.status,
+        503,
+        "the request should not be served outside the allowed regions"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_node_beside_a_back_end_refuses_where_its_service_may_not_be_served() {
+async fn node_refuses_requests_for_a_service_not_allowed_in_its_locality() {
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     world.served[0].inbound.set_may_serve(false);
     assert_eq!(world.caller().await.ask("/write/a", "r1").await.status, 503);
@@ -39,7 +43,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_request_repeated_under_the_callers_key_runs_once() {
+async fn request_resent_with_the_same_idempotency_key_runs_once() {
     let world = World::with_routes(vec![vec![ok("a")]; 4]).await;
     for key in ["k1", "k2", "k3", "k4", "k5", "k6"] {
         let mut caller = world.caller().await;
@@ -50,11 +54,11 @@
     }
     assert_eq!(world.arrivals(), 6);
     let spread = world.served.iter().filter(|served| !served.back_end.seen().is_empty()).count();
-    assert!(spread >= 2, "keys are spread over the nodes");
+    assert!(spread >= 2, "keys should be distributed over the nodes");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_key_whose_request_did_not_run_may_come_again() {
+async fn idempotency_key_can_be_reused_after_a_rejected_request() {
     const NOT_RUN: ScriptedResponse =
         ScriptedResponse::Raw("HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n");
     let world = World::with_routes(vec![vec![NOT_RUN, ok("a")]]).await;
--- a/crates/forwarding/tests/split.rs
+++ b/crates/forwarding/tests/split.rs
@@ -1,4 +1,4 @@
-//! The shares of a route that is divided among services.
+//! Tests the shares of services in the requests of a split route.
 
 use std::time::Duration;
 
@@ -7,10 +7,10 @@
 use umberpond_config::{RequestClass, RouteAccess};
 use umberpond_forwarding::{CompiledRoute, SplitSequences, WeightedService};
 
-/// Requests over all nodes after which the shares are compared.
+/// Number of requests over all nodes that the shares are computed from.
 const REQUESTS: usize = 300;
-/// Greatest difference between a share and that of its weight.
-const GREATEST_DIFFERENCE: f64 = 0.1;
+/// Largest difference between a measured share and its weight.
+const MAX_DIFFERENCE: f64 = 0.1;
 
 fn route(weights: &[u32]) -> CompiledRoute {
     let destinations = weights.iter().enumerate().map(|(number, weight)| WeightedService {
@@ -32,7 +32,8 @@
     }
 }
 
-/// Shares of the parts when `nodes` nodes divide the requests, each by itself, beginning with request `first`.
+/// Shares of the services if `nodes` nodes distribute the requests independently, ignoring the first
+/// `skipped` requests.
 fn shares(seed: u64, nodes: usize, weights: &[u32], skipped: usize) -> Vec<f64> {
     let route = route(weights);
     let mut all: Vec<(SplitSequences, SmallRng)> = (0..nodes)
@@ -51,18 +52,18 @@
 }
 
 #[test]
-fn shares_hold_over_few_requests_whatever_the_number_of_nodes() {
+fn shares_hold_over_few_requests_for_any_number_of_nodes() {
     for weights in [&[75, 25][..], &[90, 10], &[50, 30, 20], &[1, 1], &[97, 3]] {
         let sum: u32 = weights.iter().sum();
         for nodes in [1, 2, 20, 80, 200] {
             for seed in 0..60 {
-                let found = shares(seed, nodes, weights, seed as usize * 7);
-                for (share, weight) in found.iter().zip(weights) {
-                    let wanted = f64::from(*weight) / f64::from(sum);
-                    let difference = (share - wanted).abs();
+                let measured = shares(seed, nodes, weights, seed as usize * 7);
+                for (share, weight) in measured.iter().zip(weights) {
+                    let expected = f64::from(*weight) / f64::from(sum);
+                    let difference = (share - expected).abs();
                     assert!(
-                        difference < GREATEST_DIFFERENCE,
-                        "{nodes} nodes, {weights:?}: {share}, not {wanted}"
+                        difference < MAX_DIFFERENCE,
+                        "{nodes} nodes, {weights:?}: share {share} instead of {expected}"
                     );
                 }
             }
@@ -71,9 +72,9 @@
 }
 
 #[test]
-fn a_node_alone_is_off_by_a_request_or_two_at_most() {
+fn single_node_deviates_by_few_requests() {
     for seed in 0..60 {
-        let found = shares(seed, 1, &[75, 25], 0);
-        assert!((found[0] - 0.75).abs() <= 3.0 / REQUESTS as f64, "{found:?}");
+        let measured = shares(seed, 1, &[75, 25], 0);
+        assert!((measured[0] - 0.75).abs() <= 3.0 / REQUESTS as f64, "{measured:?}");
     }
 }
