--- a/crates/daemon/src/back_end/announcement.rs
+++ b/crates/daemon/src/back_end/announcement.rs
@@ -1,36 +1,36 @@
-//! The word of a back end.
+//! The announcement that a back end sends to its node.
 
 use std::net::SocketAddr;
 use std::time::Duration;
 
 use umberpond_model::{BackEndProcess, ReleaseName, ServiceName};
 
-/// State of a back end by its own word.
+/// State that a back end announces.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AnnouncedState {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
-    /// It is going to leave.
+    /// It is about to shut down and accepts no new requests.
     Draining,
 }
 
-/// What a back end says of itself at regular times.
+/// A periodic report of a back end on itself.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
-    /// Its present life.
+    /// The process that sent the announcement.
     pub life: BackEndProcess,
     /// Service that it serves.
     pub service: ServiceName,
     /// Version of its software.
     pub release: Option<ReleaseName>,
-    /// Address at which it takes requests.
+    /// Address at which it listens for requests.
     pub address: SocketAddr,
-    /// Requests it works on at once.
+    /// Maximum number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it is going to leave.
+    /// Whether it is ready or draining.
     pub state: AnnouncedState,
-    /// How much longer it is slow from its start.
+    /// Remaining warm-up time; zero if it is warm.
     pub cold_for: Duration,
-    /// Count of the announcements of this life; a late one has a lower count.
+    /// Sequence number of the announcement within this process; a delayed one has a lower number.
     pub sequence: u64,
 }
--- a/crates/daemon/src/back_end/check.rs
+++ b/crates/daemon/src/back_end/check.rs
@@ -1,4 +1,4 @@
-//! Follows a back end that does not announce itself, by asking it at regular times.
+//! Periodic health checks of a back end that sends no announcements.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,27 +10,28 @@
 
 use super::monitor::BackEndMonitor;
 
-/// Path asked where the configuration names none.
+/// Health check path if the configuration has none.
 const DEFAULT_PATH: &str = "/health";
-/// Identity of a back end that tells none.
+/// Identity of a back end that reports none.
 const UNNAMED: &str = "unnamed";
-/// Slots of a back end for which neither it nor the configuration names any.
+/// Number of slots if neither the back end nor the configuration specifies one.
 const DEFAULT_SLOTS: u32 = 16;
 
-/// How a back end is asked.
+/// Settings of the periodic health checks.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct CheckSettings {
     /// Service that it serves.
     pub service: ServiceName,
     /// Its address.
     pub address: SocketAddr,
-    /// Time between two questions.
+    /// Time between two health checks.
     pub interval: Duration,
-    /// Questions in a row without a good answer after which it gets no new work: an answer can lag or mislead.
+    /// Consecutive failed health checks after which the back end gets no new requests. A single result may be
+    /// delayed or wrong.
     pub failures: u32,
 }
 
-/// Asks the back end without end.
+/// Sends health checks to the back end until the task is aborted.
 pub(crate) async fn check_periodically(monitor: Arc<BackEndMonitor>, settings: CheckSettings) {
     let mut ticks = interval(settings.interval);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
--- a/crates/daemon/src/back_end/mod.rs
+++ b/crates/daemon/src/back_end/mod.rs
@@ -1,4 +1,4 @@
-//! What the back end beside this node says of itself, and what follows from it.
+//! Announcements and health checks of the back end beside this node, and the state derived from them.
 
 mod announcement;
 mod check;
@@ -10,7 +10,7 @@
 pub use announcement::{AnnouncedState, Announcement};
 pub use check::CheckSettings;
 pub(crate) use check::check_periodically;
-pub use lives::{BackEndLives, CloseReason, Effect};
+pub use lives::{BackEndTracker, CloseReason, Effect};
 pub use monitor::BackEndMonitor;
 pub(crate) use probe::probe_at_start;
 pub(crate) use warmth::follow_warmth;
--- a/crates/daemon/src/back_end/monitor.rs
+++ b/crates/daemon/src/back_end/monitor.rs
@@ -1,4 +1,4 @@
-//! Carries out what follows from a word of the back end: first here, then told to all other nodes.
+//! Applies state changes of the back end, first on this node, and then broadcasts them to all other nodes.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,18 @@
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::announcement::Announcement;
-use super::lives::{BackEndLives, Effect};
+use super::lives::{BackEndTracker, Effect};
 use crate::configuration::Activation;
 use crate::membership::MembershipMessage;
 
-/// Time between two questions to a back end that has to be confirmed.
+/// Time between two health checks of a back end that has to be confirmed.
 const CONFIRM_INTERVAL: Duration = Duration::from_millis(200);
-/// Questions asked before the next word of the back end is awaited.
-const CONFIRM_QUESTIONS: u32 = 40;
+/// Maximum number of these health checks; after that the next announcement is awaited.
+const MAX_CONFIRM_ATTEMPTS: u32 = 40;
 
-/// Follows the back end beside this node.
+/// Tracks the back end beside this node.
 pub struct BackEndMonitor {
-    lives: Mutex<BackEndLives>,
+    tracker: Mutex<BackEndTracker>,
     inbound: Arc<Inbound>,
     activation: Arc<Activation>,
     membership: ActorRef<MembershipMessage>,
@@ -32,155 +32,155 @@
 
 impl std::fmt::Debug for BackEndMonitor {
     fn fmt(&self, formatter: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        formatter.debug_struct("BackEndMonitor").field("lives", &*self.lives.lock()).finish_non_exhaustive()
+        formatter.debug_struct("BackEndMonitor").field("lives", &*self.tracker.lock()).finish_non_exhaustive()
     }
 }
 
 impl BackEndMonitor {
     pub(crate) fn new(
-        may_be_leaving: bool,
+        may_be_draining: bool,
         inbound: Arc<Inbound>,
         activation: Arc<Activation>,
         membership: ActorRef<MembershipMessage>,
         telemetry: Telemetry,
     ) -> Arc<Self> {
-        let lives = Mutex::new(BackEndLives::new(may_be_leaving));
-        Arc::new(Self { lives, inbound, activation, membership, telemetry })
+        let tracker = Mutex::new(BackEndTracker::new(may_be_draining));
+        Arc::new(Self { tracker, inbound, activation, membership, telemetry })
     }
 
-    /// Takes in an announcement. When this returns, a leave that it tells is in force on this node.
+    /// Handles an announcement. If it announces draining, this node sends no new requests once this returns.
     pub fn announce(self: &Arc<Self>, announcement: &Announcement) {
-        let effect = self.lives.lock().on_announcement(now(), announcement);
-        self.carry_out(effect);
-        self.keep_cold_pace();
-        self.tell_warm_later();
+        let effect = self.tracker.lock().on_announcement(now(), announcement);
+        self.apply(effect);
+        self.update_cold_start_limiter();
+        self.publish_record_when_warm();
     }
 
-    /// Takes in that `life` ends. When this returns, that is in force on this node.
-    pub fn withdraw(self: &Arc<Self>, life: &BackEndProcess) {
-        let effect = self.lives.lock().on_withdrawn(life);
-        self.carry_out(effect);
+    /// Handles the withdrawal of `process`. This node sends it no new requests once this returns.
+    pub fn withdraw(self: &Arc<Self>, process: &BackEndProcess) {
+        let effect = self.tracker.lock().on_withdrawn(process);
+        self.apply(effect);
     }
 
-    /// What is told to other nodes of the back end.
+    /// The record of the back end that this node publishes to other nodes.
     #[must_use]
     pub fn record(&self) -> Option<BackEndRecord> {
-        self.lives.lock().record(now())
+        self.tracker.lock().record(now())
     }
 
-    /// Takes in that the back end has just said, asked by this process, that it is well.
+    /// Handles a successful health check that this process has just made.
     pub(crate) fn confirm(self: &Arc<Self>, back_end: BackEnd) {
-        let effect = self.lives.lock().on_confirmed(now(), back_end);
-        self.carry_out(effect);
+        let effect = self.tracker.lock().on_confirmed(now(), back_end);
+        self.apply(effect);
     }
 
-    /// Takes in that `life` has said, asked by this process, that it is cold for so long.
-    pub(crate) fn on_cold(self: &Arc<Self>, life: &BackEndProcess, cold_for: Duration) {
+    /// Handles the remaining warm-up time that `process` reported in response to a health check of this node.
+    pub(crate) fn on_cold(self: &Arc<Self>, process: &BackEndProcess, cold_for: Duration) {
         if cold_for.is_zero() {
             return;
         }
-        self.lives.lock().on_cold(now(), life, cold_for);
-        self.keep_cold_pace();
-        self.tell_others();
-        self.tell_warm_later();
+        self.tracker.lock().on_cold(now(), process, cold_for);
+        self.update_cold_start_limiter();
+        self.publish_record();
+        self.publish_record_when_warm();
     }
 
-    /// Hands the back end requests at the pace of a cold one as long as it is known to be.
-    fn keep_cold_pace(&self) {
-        let cold_for = self.lives.lock().cold_for(now());
+    /// Keeps the cold-start limiter active for as long as the back end is known to be cold.
+    fn update_cold_start_limiter(&self) {
+        let cold_for = self.tracker.lock().cold_for(now());
         if !cold_for.is_zero() {
             self.inbound.on_cold(cold_for);
         }
     }
 
-    /// Takes in that the back end can't be reached.
-    pub(crate) fn unreachable(self: &Arc<Self>, life: &BackEndProcess) {
-        let effect = self.lives.lock().on_unreachable(life);
+    /// Handles a failure to reach the back end.
+    pub(crate) fn unreachable(self: &Arc<Self>, process: &BackEndProcess) {
+        let effect = self.tracker.lock().on_unreachable(process);
         if effect != Effect::None {
-            let reason = "it can't be reached".to_owned();
+            let reason = "the back end is unreachable".to_owned();
             self.telemetry.emit(Event::BackEndUnhealthy { reason });
         }
-        self.carry_out(effect);
+        self.apply(effect);
     }
 
-    /// Path under which the back end of `service` tells whether it is well.
+    /// Health check path of the back end of `service`.
     pub(crate) fn health_path(&self, service: &ServiceName) -> Option<String> {
         self.activation.health_path(service)
     }
 
-    /// Requests that a back end of `service` works on at once by the configuration in force, if it says so.
+    /// Number of slots of a back end of `service` in the active configuration, if it specifies one.
     pub(crate) fn configured_slots(&self, service: &ServiceName) -> Option<u32> {
         self.activation.slots(service)
     }
 
-    /// The half that reaches the back end.
+    /// The half of the request path that forwards requests to the back end.
     pub(crate) const fn inbound(&self) -> &Arc<Inbound> {
         &self.inbound
     }
 
-    fn carry_out(self: &Arc<Self>, effect: Effect) {
+    fn apply(self: &Arc<Self>, effect: Effect) {
         match effect {
             Effect::None => return,
             Effect::Open(back_end) => {
-                self.tell("ready", "it is well");
+                self.emit_state_changed("ready", "the back end reports that it is ready");
                 self.inbound.open(back_end);
                 self.activation.on_back_end_changed();
             }
             Effect::Close(reason) => {
-                self.tell("closed", reason.words());
+                self.emit_state_changed("closed", reason.as_str());
                 self.inbound.close();
             }
             Effect::Confirm(back_end) => {
-                self.tell(
+                self.emit_state_changed(
                     "to-be-confirmed",
-                    "it could not be reached, or an earlier process may have closed it",
+                    "the back end was unreachable, or an earlier process of this node may have closed it",
                 );
                 self.inbound.close();
-                tokio::spawn(Arc::clone(self).confirm_later(back_end));
+                tokio::spawn(Arc::clone(self).probe_until_confirmed(back_end));
             }
         }
-        self.tell_others();
+        self.publish_record();
     }
 
-    fn tell(&self, state: &'static str, reason: &'static str) {
-        let lives = self.lives.lock();
-        let Some((back_end, sequence)) = lives.present() else { return };
+    fn emit_state_changed(&self, state: &'static str, reason: &'static str) {
+        let tracker = self.tracker.lock();
+        let Some((back_end, sequence)) = tracker.current() else { return };
         let (instance, service) = (back_end.life.to_string(), back_end.service.to_string());
-        drop(lives);
+        drop(tracker);
         self.telemetry.emit(Event::BackEndStateChanged { instance, service, state, reason, sequence });
     }
 
-    fn tell_others(&self) {
-        let record = self.lives.lock().record(now());
+    fn publish_record(&self) {
+        let record = self.tracker.lock().record(now());
         let _ = self.membership.send_message(MembershipMessage::BackEnd(record));
     }
 
-    /// Tells the others once the back end is no longer slow from its start.
-    fn tell_warm_later(self: &Arc<Self>) {
-        let cold_for = self.lives.lock().cold_for(now());
+    /// Publishes the record again once the warm-up time of the back end has passed.
+    fn publish_record_when_warm(self: &Arc<Self>) {
+        let cold_for = self.tracker.lock().cold_for(now());
         if cold_for.is_zero() {
             return;
         }
         let monitor = Arc::clone(self);
         tokio::spawn(async move {
             sleep(cold_for + Duration::from_millis(1)).await;
-            monitor.tell_others();
+            monitor.publish_record();
         });
     }
 
-    /// Asks the back end until it says that it is well.
-    async fn confirm_later(self: Arc<Self>, back_end: BackEnd) {
-        for _question in 0..CONFIRM_QUESTIONS {
+    /// Sends health checks until the back end reports that it is healthy or the attempts are used up.
+    async fn probe_until_confirmed(self: Arc<Self>, back_end: BackEnd) {
+        for _attempt in 0..MAX_CONFIRM_ATTEMPTS {
             if let Some(path) = self.health_path(&back_end.service) {
                 let health = self.inbound.probe_health(back_end.address, &path).await;
                 match health.and_then(|health| health.instance.map(|instance| (instance, health.cold_for))) {
                     Some((instance, cold_for)) if instance == back_end.life.instance => {
-                        let life = back_end.life.clone();
+                        let process = back_end.life.clone();
                         self.confirm(back_end);
-                        self.on_cold(&life, cold_for);
+                        self.on_cold(&process, cold_for);
                         return;
                     }
-                    // Another back end is there, whose own word is awaited: this one does not come back.
+                    // Another back end uses the address and will announce itself; this one has been replaced.
                     Some(_another) => return,
                     None => {}
                 }
--- a/crates/daemon/src/back_end/probe.rs
+++ b/crates/daemon/src/back_end/probe.rs
@@ -1,4 +1,4 @@
-//! Asks the back end at the start of the process, without waiting for its next word.
+//! Probes the back end when the node starts, so that it need not wait for the next announcement.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -10,24 +10,24 @@
 
 use super::monitor::BackEndMonitor;
 
-/// Time between two questions.
+/// Time between two probes.
 const INTERVAL: Duration = Duration::from_millis(150);
-/// Questions asked; after that the back end's own word is awaited.
-const QUESTIONS: u32 = 20;
+/// Maximum number of probes; after that only an announcement opens the back end.
+const MAX_ATTEMPTS: u32 = 20;
 
-/// Asks the back end at `address` until it says that it is well, or its own word has come.
+/// Probes the back end at `address` until it reports that it is healthy or the attempts are used up.
 pub(crate) async fn probe_at_start(monitor: Arc<BackEndMonitor>, service: ServiceName, address: SocketAddr) {
-    let mut asked = 0;
-    while asked < QUESTIONS {
+    let mut attempts = 0;
+    while attempts < MAX_ATTEMPTS {
         if let Some(path) = monitor.health_path(&service) {
-            asked += 1;
+            attempts += 1;
             let health = monitor.inbound().probe_health(address, &path).await;
             if let Some(health) = health
                 && let (Some(instance), Some(slots)) = (health.instance, health.slots)
             {
-                let life = BackEndProcess::of(&instance);
-                monitor.confirm(BackEnd { life: life.clone(), service, release: None, address, slots });
-                monitor.on_cold(&life, health.cold_for);
+                let process = BackEndProcess::of(&instance);
+                monitor.confirm(BackEnd { life: process.clone(), service, release: None, address, slots });
+                monitor.on_cold(&process, health.cold_for);
                 return;
             }
         }
--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -1,4 +1,4 @@
-//! Asks the back end whether it is warm, whenever so much was handed to it that this has to be known.
+//! Probes whether the back end is warm, whenever the cold-start limiter needs to know before it admits more.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -8,26 +8,28 @@
 
 use super::monitor::BackEndMonitor;
 
-/// Pause after a question that came to nothing.
+/// Pause after a failed probe.
 const FAILURE_PAUSE: Duration = Duration::from_millis(150);
 
-/// Asks the back end without end. A service whose back ends bear as much cold as warm is never asked.
+/// Runs warmth probes until the task is aborted. A service whose back ends handle as much load cold as warm
+/// is never probed.
 pub(crate) async fn follow_warmth(monitor: Arc<BackEndMonitor>) {
     loop {
         let back_end = monitor.inbound().begin_warmth_probe().await;
-        let is_answered = match back_end {
-            Some(back_end) => ask(&monitor, &back_end).await,
+        let has_succeeded = match back_end {
+            Some(back_end) => probe(&monitor, &back_end).await,
             None => false,
         };
-        if !is_answered {
+        if !has_succeeded {
             monitor.inbound().on_warmth_probe_failed();
             sleep(FAILURE_PAUSE).await;
         }
     }
 }
 
-/// Asks `back_end`, and tells the pace what it says; `false` if it says nothing.
-async fn ask(monitor: &Arc<BackEndMonitor>, back_end: &BackEnd) -> bool {
+/// Probes `back_end` and passes the result to the cold-start limiter; `false` if there was no usable
+/// response.
+async fn probe(monitor: &Arc<BackEndMonitor>, back_end: &BackEnd) -> bool {
     let Some(path) = monitor.health_path(&back_end.service) else { return false };
     let Some(health) = monitor.inbound().probe_health(back_end.address, &path).await else { return false };
     if health.instance.is_some_and(|instance| instance != back_end.life.instance) {
