--- a/crates/daemon/src/back_end/mod.rs
+++ b/crates/daemon/src/back_end/mod.rs
@@ -2,15 +2,15 @@
 
 mod announcement;
 mod check;
-mod lives;
 mod monitor;
 mod probe;
+mod tracker;
 mod warmth;
 
 pub use announcement::{AnnouncedState, Announcement};
 pub use check::CheckSettings;
 pub(crate) use check::check_periodically;
-pub use lives::{BackEndTracker, CloseReason, Effect};
 pub use monitor::BackEndMonitor;
 pub(crate) use probe::probe_at_start;
+pub use tracker::{BackEndTracker, CloseReason, Effect};
 pub(crate) use warmth::follow_warmth;
--- a/crates/daemon/src/back_end/monitor.rs
+++ b/crates/daemon/src/back_end/monitor.rs
@@ -12,7 +12,7 @@
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::announcement::Announcement;
-use super::lives::{BackEndTracker, Effect};
+use super::tracker::{BackEndTracker, Effect};
 use crate::configuration::Activation;
 use crate::membership::MembershipMessage;
 
