--- a/crates/daemon/src/configuration/activation.rs
+++ b/crates/daemon/src/configuration/activation.rs
@@ -1,4 +1,4 @@
-//! Puts a configuration in force on this node.
+//! Activates configurations on this node.
 
 use std::sync::Arc;
 
@@ -9,7 +9,7 @@
 use umberpond_model::ServiceName;
 use umberpond_telemetry::{Event, Telemetry, VersionStage};
 
-/// Puts configurations in force.
+/// Activates configurations and holds the active one.
 pub struct Activation {
     outbound: Arc<Outbound>,
     seal_key: Option<Arc<SealKeyPair>>,
@@ -32,20 +32,20 @@
         Self { outbound, seal_key, telemetry, active: Mutex::new(None) }
     }
 
-    /// The configuration in force.
+    /// The active configuration.
     #[must_use]
     pub fn active(&self) -> Option<VersionedConfiguration> {
         self.active.lock().clone()
     }
 
-    /// Path under which the back end of `service` tells whether it is well.
+    /// Health check path of the back end of `service`.
     #[must_use]
     pub fn health_path(&self, service: &ServiceName) -> Option<String> {
         let active = self.active.lock();
         active.as_ref()?.snapshot.services.get(service)?.health_path.clone()
     }
 
-    /// Requests that a back end of `service` works on at once, if the configuration says so.
+    /// Number of slots of a back end of `service`, if the configuration specifies one.
     #[must_use]
     pub fn slots(&self, service: &ServiceName) -> Option<u32> {
         let active = self.active.lock();
@@ -54,12 +54,12 @@
         (slots > 0).then_some(slots)
     }
 
-    /// Takes in that the back end beside this node may be of another service now.
+    /// Informs the request path that the back end beside this node may belong to another service now.
     pub(crate) fn on_back_end_changed(&self) {
         self.outbound.on_back_end_changed();
     }
 
-    /// Puts `offered` in force, whole or not at all; `false` if it could not be.
+    /// Activates `offered` as a whole; `false` if that failed, in which case nothing changes.
     pub(crate) fn activate(&self, offered: &VersionedConfiguration) -> bool {
         let opened = self.open_secrets(&offered.snapshot);
         let caller = self.outbound.caller();
@@ -90,7 +90,7 @@
         true
     }
 
-    /// The values of the secrets that this node's service may read.
+    /// Decrypts the secrets that this node's service may read.
     fn open_secrets(&self, snapshot: &Snapshot) -> OpenedSecrets {
         let caller = self.outbound.caller();
         let mut opened = OpenedSecrets::new();
--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -20,10 +20,10 @@
 use super::peers::{TRANSFER, fetch};
 use crate::membership::MembershipMessage;
 
-/// Pause in milliseconds before another node is asked, after one that was busy.
-const BUSY_PAUSE_MILLIS: Range<u64> = 15..60;
+/// Delay in milliseconds before the next fetch, after a peer that was busy.
+const BUSY_RETRY_DELAY_MILLIS: Range<u64> = 15..60;
 
-/// What the actor needs.
+/// Arguments of the actor.
 pub(crate) struct ConfigurationArguments {
     pub(crate) activation: Arc<Activation>,
     pub(crate) membership: ActorRef<MembershipMessage>,
@@ -38,9 +38,9 @@
     membership: ActorRef<MembershipMessage>,
     network: Arc<dyn Network>,
     telemetry: Telemetry,
-    holders: NewerPeers,
+    newer_peers: NewerPeers,
     random: SmallRng,
-    /// Whether another node is being asked, or is about to be.
+    /// Whether a fetch is running or scheduled.
     is_fetching: bool,
 }
 
@@ -63,7 +63,7 @@
             membership: arguments.membership,
             network: arguments.network,
             telemetry: arguments.telemetry,
-            holders: NewerPeers::default(),
+            newer_peers: NewerPeers::default(),
             random: SmallRng::seed_from_u64(arguments.seed),
             is_fetching: false,
         })
@@ -76,17 +76,18 @@
         state: &mut Self::State,
     ) -> Result<(), ActorProcessingErr> {
         match message {
-            ConfigurationMessage::Told { version, by, is_near } => {
-                state.holders.on_peer_version(by, version, state.held.version(), is_near);
+            ConfigurationMessage::PeerVersion { version, peer, is_same_zone } => {
+                state.newer_peers.on_peer_version(peer, version, state.held.version(), is_same_zone);
                 state.fetch_if_behind(&myself);
             }
             ConfigurationMessage::Fetched { fetched, from } => state.on_fetched(&myself, fetched, from),
-            ConfigurationMessage::AskAnother => {
+            ConfigurationMessage::RetryFetch => {
                 state.is_fetching = false;
                 state.fetch_if_behind(&myself);
             }
             ConfigurationMessage::Sourced(sourced) => {
-                // The hash is worked out only for what is new.
+                // Creating a `VersionedConfiguration` computes its hash, so that older versions are skipped
+                // first.
                 if state.held.version() < Some(sourced.version) {
                     let _ = state.offer(VersionedConfiguration::new(sourced.version, sourced.snapshot));
                 }
@@ -100,12 +101,12 @@
 }
 
 impl ConfigurationState {
-    /// Asks one of the nodes that hold something newer, if there is one and none is being asked.
+    /// Starts a fetch from a peer that holds a newer configuration, unless a fetch is running.
     fn fetch_if_behind(&mut self, myself: &ActorRef<ConfigurationMessage>) {
         if self.is_fetching {
             return;
         }
-        let Some(from) = self.holders.choose(&mut self.random) else { return };
+        let Some(from) = self.newer_peers.choose(&mut self.random) else { return };
         self.is_fetching = true;
         let held = self.held.newest().map(VersionedConfiguration::held);
         let network = Arc::clone(&self.network);
@@ -118,15 +119,15 @@
 
     fn on_fetched(&mut self, myself: &ActorRef<ConfigurationMessage>, fetched: Fetched, from: SocketAddr) {
         match fetched {
-            Fetched::Busy => return self.ask_another_later(myself),
-            Fetched::NoAnswer => self.on_fetch_failed(from, "no answer".to_owned()),
+            Fetched::Busy => return self.retry_fetch_later(myself),
+            Fetched::NoResponse => self.on_fetch_failed(from, "no response".to_owned()),
             Fetched::Transfer(bytes) => match self.receive(&bytes) {
                 Ok(Some(received)) => {
                     if !self.offer(received) {
-                        self.holders.on_no_response(from);
+                        self.newer_peers.on_no_response(from);
                     }
                 }
-                Ok(None) => self.holders.on_no_response(from),
+                Ok(None) => self.newer_peers.on_no_response(from),
                 Err(error) => self.on_fetch_failed(from, error.to_string()),
             },
         }
@@ -140,27 +141,28 @@
     }
 
     fn on_fetch_failed(&mut self, from: SocketAddr, reason: String) {
-        self.holders.on_no_response(from);
+        self.newer_peers.on_no_response(from);
         self.telemetry.emit(Event::ConfigurationFetchFailed { peer: from, reason });
     }
 
-    fn ask_another_later(&mut self, myself: &ActorRef<ConfigurationMessage>) {
-        let pause = Duration::from_millis(self.random.random_range(BUSY_PAUSE_MILLIS));
+    fn retry_fetch_later(&mut self, myself: &ActorRef<ConfigurationMessage>) {
+        let delay = Duration::from_millis(self.random.random_range(BUSY_RETRY_DELAY_MILLIS));
         let myself = myself.clone();
         tokio::spawn(async move {
-            sleep(pause).await;
-            let _ = myself.send_message(ConfigurationMessage::AskAnother);
+            sleep(delay).await;
+            let _ = myself.send_message(ConfigurationMessage::RetryFetch);
         });
     }
 
-    /// Puts a newer configuration in force and tells the others; `false` if it could not be put in force.
+    /// Activates a newer configuration and publishes its version; `false` if it isn't newer or can't be
+    /// activated.
     fn offer(&mut self, offered: VersionedConfiguration) -> bool {
         if self.held.version() >= Some(offered.version) || !self.activation.activate(&offered) {
             return false;
         }
         let version = offered.version;
         self.held.offer(offered);
-        self.holders.on_own_version(version);
+        self.newer_peers.on_own_version(version);
         let _ = self.membership.send_message(MembershipMessage::Version(version));
         true
     }
--- a/crates/daemon/src/configuration/message.rs
+++ b/crates/daemon/src/configuration/message.rs
@@ -9,27 +9,27 @@
 
 use super::source::Sourced;
 
-/// What the configuration actor is told and asked.
+/// A message to the configuration actor.
 pub(crate) enum ConfigurationMessage {
-    /// Another node, perhaps one of the same zone, holds this version.
-    Told { version: Version, by: SocketAddr, is_near: bool },
-    /// What came of asking another node.
+    /// Another node holds this version; `is_same_zone` if that node is in the same zone.
+    PeerVersion { version: Version, peer: SocketAddr, is_same_zone: bool },
+    /// A fetch from another node has ended.
     Fetched { fetched: Fetched, from: SocketAddr },
-    /// The pause after a busy node is over.
-    AskAnother,
-    /// What the store holds.
+    /// The delay after a busy peer has passed.
+    RetryFetch,
+    /// A configuration read from the store.
     Sourced(Box<Sourced>),
-    /// Another node asks for what is newer than it holds; the answer is an encoded transfer.
+    /// Another node requests changes since the configuration it holds; the reply is an encoded transfer.
     Pull { held: Option<Held>, reply: RpcReplyPort<Arc<[u8]>> },
 }
 
-/// What came of asking another node.
+/// Result of a fetch from another node.
 #[derive(Debug)]
 pub(crate) enum Fetched {
-    /// It answered with an encoded [`Transfer`](umberpond_distribution::Transfer).
+    /// The node responded with an encoded [`Transfer`](umberpond_distribution::Transfer).
     Transfer(Vec<u8>),
-    /// It serves others just now.
+    /// The node is busy with transfers to other nodes.
     Busy,
-    /// It did not answer, or not to the end.
-    NoAnswer,
+    /// There was no response, or it was incomplete.
+    NoResponse,
 }
--- a/crates/daemon/src/configuration/mod.rs
+++ b/crates/daemon/src/configuration/mod.rs
@@ -1,4 +1,5 @@
-//! What is in force: read from the store by a few nodes, fetched from them by all others, put in force whole.
+//! The configuration of a node. A few nodes read it from the store and all others fetch it from them; each
+//! node activates it as a whole.
 
 mod activation;
 mod actor;
@@ -11,5 +12,5 @@
 pub(crate) use actor::{ConfigurationActor, ConfigurationArguments};
 pub(crate) use message::ConfigurationMessage;
 pub(crate) use peers::serve_peers;
-pub(crate) use reader::{ReaderTask, finds_itself_reader, read_store};
+pub(crate) use reader::{ReaderTask, is_store_reader, read_store};
 pub use source::{ConfigurationSource, Position, SourceError, Sourced, Waited};
--- a/crates/daemon/src/configuration/peers.rs
+++ b/crates/daemon/src/configuration/peers.rs
@@ -1,7 +1,7 @@
-//! Configurations from node to node: one question and one answer on a connection.
+//! Transfers of configurations between nodes, with one request and one response per connection.
 //!
-//! A short answer is sent to everybody at once. Long ones are sent to a few at a time, so that those arrive soon and
-//! serve others in their turn; whoever else asks is told to ask elsewhere.
+//! Short responses are sent without a limit. Long ones are sent to a few nodes at a time, so that these
+//! receive them soon and can serve others; all other nodes get a busy response and try another peer.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -20,63 +20,63 @@
 
 use super::message::{ConfigurationMessage, Fetched};
 
-/// Longest time to open a connection to another node.
-const CONNECT_TIME: Duration = Duration::from_millis(500);
-/// Longest time until the next part of an answer arrives.
-const PART_TIME: Duration = Duration::from_millis(1_000);
-/// Longest time that the actor takes to answer.
-const ACTOR_TIME: Duration = Duration::from_millis(1_000);
-/// Longest time of a whole exchange.
-const EXCHANGE_TIME: Duration = Duration::from_secs(10);
-/// Bytes in one part of an answer.
+/// Timeout for opening a connection to another node.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
+/// Timeout for the next part of a response.
+const PART_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout for the reply of the configuration actor.
+const ACTOR_TIMEOUT: Duration = Duration::from_millis(1_000);
+/// Timeout for a whole exchange.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(10);
+/// Maximum number of bytes in one part of a response.
 const PART_BYTES: usize = 16 * 1024;
-/// Long answers sent at once. Each one more makes all of them slower.
-const LONG_ANSWERS_AT_ONCE: usize = 2;
-/// Most connections served at once.
+/// Maximum number of long responses sent concurrently. Each further one would slow down all of them.
+const MAX_LONG_RESPONSES: usize = 2;
+/// Maximum number of connections served concurrently.
 const MAX_CONNECTIONS: usize = 400;
-/// Pause after a connection that could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
-/// A question of another node.
+/// A request of another node.
 #[derive(Debug, Encode, Decode)]
-enum PeerQuestion {
-    /// What is newer than this?
+enum PeerRequest {
+    /// Requests everything that is newer than the given configuration.
     Pull(Option<Held>),
 }
 
-/// A part of the answer.
+/// A part of the response.
 #[derive(Debug, Encode, Decode)]
-enum PeerAnswer {
+enum PeerResponse {
     /// Bytes of the encoded transfer; more follow.
     Part(Vec<u8>),
     /// The last bytes of the encoded transfer.
     LastPart(Vec<u8>),
-    /// Enough others are being served.
+    /// Too many transfers are running; the requester should try another node.
     Busy,
 }
 
-/// Kind of message in the figures.
+/// Kind of message in the metrics.
 pub(super) const TRANSFER: &str = "configuration";
 
-/// Asks the node at `peer` for what it holds beyond `held`.
+/// Fetches from the node at `peer` what is newer than `held`.
 pub(super) async fn fetch(network: &dyn Network, peer: SocketAddr, held: Option<Held>) -> Fetched {
-    let exchange = timeout(EXCHANGE_TIME, exchange(network, peer, held));
-    exchange.await.ok().flatten().unwrap_or(Fetched::NoAnswer)
+    let exchange = timeout(EXCHANGE_TIMEOUT, exchange(network, peer, held));
+    exchange.await.ok().flatten().unwrap_or(Fetched::NoResponse)
 }
 
 async fn exchange(network: &dyn Network, peer: SocketAddr, held: Option<Held>) -> Option<Fetched> {
-    let stream = timeout(CONNECT_TIME, network.connect(peer)).await.ok()?.ok()?;
+    let stream = timeout(CONNECT_TIMEOUT, network.connect(peer)).await.ok()?.ok()?;
     let (reader, writer) = tokio::io::split(stream);
-    let mut writer: FrameWriter<WriteHalf<BoxStream>, PeerQuestion> = FrameWriter::new(writer);
-    let mut reader: FrameReader<ReadHalf<BoxStream>, PeerAnswer> = FrameReader::new(reader);
-    writer.send(&PeerQuestion::Pull(held)).await.ok()?;
+    let mut writer: FrameWriter<WriteHalf<BoxStream>, PeerRequest> = FrameWriter::new(writer);
+    let mut reader: FrameReader<ReadHalf<BoxStream>, PeerResponse> = FrameReader::new(reader);
+    writer.send(&PeerRequest::Pull(held)).await.ok()?;
     let mut encoded = Vec::new();
     loop {
-        let (part, _size) = timeout(PART_TIME, reader.next()).await.ok()?.ok()??;
+        let (part, _size) = timeout(PART_TIMEOUT, reader.next()).await.ok()?.ok()??;
         match part {
-            PeerAnswer::Busy => return Some(Fetched::Busy),
-            PeerAnswer::Part(bytes) => encoded.extend(bytes),
-            PeerAnswer::LastPart(bytes) => {
+            PeerResponse::Busy => return Some(Fetched::Busy),
+            PeerResponse::Part(bytes) => encoded.extend(bytes),
+            PeerResponse::LastPart(bytes) => {
                 encoded.extend(bytes);
                 return Some(Fetched::Transfer(encoded));
             }
@@ -84,13 +84,13 @@
     }
 }
 
-/// Answers the questions of other nodes, without end.
+/// Serves the requests of other nodes until the task is aborted.
 pub(crate) async fn serve_peers(
     mut listener: BoxListener,
     configuration: ActorRef<ConfigurationMessage>,
     telemetry: Telemetry,
 ) {
-    let long_answers = Arc::new(Semaphore::new(LONG_ANSWERS_AT_ONCE));
+    let long_responses = Arc::new(Semaphore::new(MAX_LONG_RESPONSES));
     let mut connections = JoinSet::new();
     loop {
         while connections.len() >= MAX_CONNECTIONS {
@@ -106,54 +106,55 @@
         match accepted {
             Ok((stream, _peer)) => {
                 let (configuration, telemetry) = (configuration.clone(), telemetry.clone());
-                let long_answers = Arc::clone(&long_answers);
+                let long_responses = Arc::clone(&long_responses);
                 connections.spawn(async move {
-                    let answering = answer(stream, configuration, &long_answers, telemetry.metrics());
-                    let answered = timeout(EXCHANGE_TIME, answering).await;
-                    if let Ok(Err(error)) = answered {
+                    let responding = respond(stream, configuration, &long_responses, telemetry.metrics());
+                    let responded = timeout(EXCHANGE_TIMEOUT, responding).await;
+                    if let Ok(Err(error)) = responded {
                         telemetry.emit(Event::ControlMessageRefused { reason: error.to_string() });
                     }
                 });
             }
-            Err(_one_connection) => tokio::time::sleep(ACCEPT_PAUSE).await,
+            Err(_error) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
 }
 
-/// Answers the question on one connection, if there is one.
-async fn answer(
+/// Responds to the request on one connection, if there is one.
+async fn respond(
     stream: BoxStream,
     configuration: ActorRef<ConfigurationMessage>,
-    long_answers: &Semaphore,
+    long_responses: &Semaphore,
     metrics: &Metrics,
 ) -> Result<(), FrameError> {
     let (reader, writer) = tokio::io::split(stream);
-    let mut reader: FrameReader<ReadHalf<BoxStream>, PeerQuestion> = FrameReader::new(reader);
-    let mut writer: FrameWriter<WriteHalf<BoxStream>, PeerAnswer> = FrameWriter::new(writer);
-    let Some((PeerQuestion::Pull(held), _size)) = reader.next().await? else { return Ok(()) };
-    let asked = configuration.call(|reply| ConfigurationMessage::Pull { held, reply }, Some(ACTOR_TIME));
-    let Ok(CallResult::Success(encoded)) = asked.await else { return Ok(()) };
+    let mut reader: FrameReader<ReadHalf<BoxStream>, PeerRequest> = FrameReader::new(reader);
+    let mut writer: FrameWriter<WriteHalf<BoxStream>, PeerResponse> = FrameWriter::new(writer);
+    let Some((PeerRequest::Pull(held), _size)) = reader.next().await? else { return Ok(()) };
+    let reply = configuration.call(|reply| ConfigurationMessage::Pull { held, reply }, Some(ACTOR_TIMEOUT));
+    let Ok(CallResult::Success(encoded)) = reply.await else { return Ok(()) };
     let is_long = encoded.len() > PART_BYTES;
-    let permit = if is_long { long_answers.try_acquire().ok() } else { None };
+    let permit = if is_long { long_responses.try_acquire().ok() } else { None };
     if is_long && permit.is_none() {
-        return writer.send(&PeerAnswer::Busy).await.map(drop);
+        return writer.send(&PeerResponse::Busy).await.map(drop);
     }
     metrics.control(Direction::Out, TRANSFER, encoded.len());
     send_in_parts(&mut writer, &encoded).await?;
-    // The answer has left this machine when the other node, which has the whole of it, ends the connection.
-    let _ = timeout(PART_TIME, reader.next()).await;
+    // The other node closes the connection once it has the whole response. The permit is held until then, so
+    // that no other long response starts while this one is still being sent.
+    let _ = timeout(PART_TIMEOUT, reader.next()).await;
     Ok(())
 }
 
 async fn send_in_parts(
-    writer: &mut FrameWriter<WriteHalf<BoxStream>, PeerAnswer>,
+    writer: &mut FrameWriter<WriteHalf<BoxStream>, PeerResponse>,
     encoded: &[u8],
 ) -> Result<(), FrameError> {
     let mut rest = encoded;
     while rest.len() > PART_BYTES {
         let (part, after) = rest.split_at(PART_BYTES);
-        writer.send(&PeerAnswer::Part(part.to_vec())).await?;
+        writer.send(&PeerResponse::Part(part.to_vec())).await?;
         rest = after;
     }
-    writer.send(&PeerAnswer::LastPart(rest.to_vec())).await.map(drop)
+    writer.send(&PeerResponse::LastPart(rest.to_vec())).await.map(drop)
 }
--- a/crates/daemon/src/configuration/reader.rs
+++ b/crates/daemon/src/configuration/reader.rs
@@ -1,4 +1,4 @@
-//! Reads the store, as long as this node is one of those that do.
+//! Reads the configuration from the store while this node has the reader role.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -16,22 +16,22 @@
 use super::source::{ConfigurationSource, Position, SourceError, Waited};
 use crate::membership::{MembershipMessage, StoreView};
 
-/// Time between two looks whether this node reads.
+/// Interval at which a node determines its reader role.
 const ROLE_INTERVAL: Duration = Duration::from_millis(250);
-/// The same while this process is young: callers may be waiting for its first configuration.
-const FIRST_ROLE_INTERVAL: Duration = Duration::from_millis(20);
-/// Time from its start for which a process is young.
-const YOUNG_FOR: Duration = Duration::from_secs(2);
-/// Longest wait for a change in one call.
-const LONGEST_WAIT: Duration = Duration::from_millis(700);
-/// Shortest pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(100);
-/// Longest pause after a failed call.
-const LONGEST_PAUSE: Duration = Duration::from_millis(800);
-/// Longest time that the membership takes to answer.
-const ACTOR_TIME: Duration = Duration::from_millis(500);
-
-/// What the reading task needs.
+/// The same interval shortly after the start, when callers may be waiting for the first configuration.
+const STARTUP_ROLE_INTERVAL: Duration = Duration::from_millis(20);
+/// Time after the start during which the shorter interval applies.
+const STARTUP_PHASE: Duration = Duration::from_secs(2);
+/// Maximum time that one call waits for a change.
+const MAX_WAIT: Duration = Duration::from_millis(700);
+/// Initial backoff after a failed call.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(100);
+/// Maximum backoff after a failed call.
+const MAX_BACKOFF: Duration = Duration::from_millis(800);
+/// Timeout for the reply of the membership actor.
+const ACTOR_TIMEOUT: Duration = Duration::from_millis(500);
+
+/// Arguments of the reader task.
 pub(crate) struct ReaderTask {
     pub(crate) source: Arc<dyn ConfigurationSource>,
     pub(crate) settings: ReaderSettings,
@@ -41,7 +41,7 @@
     pub(crate) seed: u64,
 }
 
-/// Reads the store without end.
+/// Reads the store until the task is aborted.
 pub(crate) async fn read_store(task: ReaderTask) {
     let mut reader = Reader {
         random: SmallRng::seed_from_u64(task.seed),
@@ -50,7 +50,7 @@
         is_reader: false,
         failure: None,
         started_at: Instant::now(),
-        pause: FIRST_PAUSE,
+        backoff: INITIAL_BACKOFF,
         is_available: true,
     };
     loop {
@@ -61,48 +61,50 @@
 struct Reader {
     task: ReaderTask,
     random: SmallRng,
-    /// Place in the store's history up to which everything is known.
+    /// Position in the store's history up to which this node has read.
     position: Option<Position>,
     is_reader: bool,
     started_at: Instant,
-    /// When the last call failed, and the pause after it of a first reader; absent after a call that was answered.
+    /// When the last call failed, and the backoff after it for a reader whose backoff factor is 1; absent
+    /// after a successful call.
     failure: Option<(Instant, Duration)>,
-    pause: Duration,
+    backoff: Duration,
     is_available: bool,
 }
 
 impl Reader {
     async fn step(&mut self) {
-        let turn = turn_of_own(&self.task.membership, &self.task.settings).await;
-        self.tell_role(turn.is_some());
-        let Some(turn) = turn else {
+        let role = own_role(&self.task.membership, &self.task.settings).await;
+        self.report_role(role.is_some());
+        let Some(role) = role else {
             self.position = None;
             sleep(self.role_interval()).await;
             return;
         };
-        // The turn is found out anew while it waits: a node that becomes one of the first readers goes on at once.
-        if let Some(left) = self.pause_left(turn) {
+        // The role is determined again during the backoff, so that a node whose backoff factor falls
+        // meanwhile waits no longer than its new role requires.
+        if let Some(left) = self.remaining_backoff(role) {
             sleep(left.min(self.role_interval())).await;
             return;
         }
-        match self.read_on().await {
+        match self.read_next().await {
             Ok(()) => self.on_available(),
             Err(error) => self.on_failed(error),
         }
     }
 
     fn role_interval(&self) -> Duration {
-        if self.started_at.elapsed() < YOUNG_FOR { FIRST_ROLE_INTERVAL } else { ROLE_INTERVAL }
+        if self.started_at.elapsed() < STARTUP_PHASE { STARTUP_ROLE_INTERVAL } else { ROLE_INTERVAL }
     }
 
-    /// What is left of the pause after a failed call.
-    fn pause_left(&self, turn: ReaderRole) -> Option<Duration> {
-        let (failed_at, pause) = self.failure?;
-        let left = (pause * turn.backoff_factor).saturating_sub(failed_at.elapsed());
+    /// Remaining backoff after a failed call; absent if it has passed.
+    fn remaining_backoff(&self, role: ReaderRole) -> Option<Duration> {
+        let (failed_at, backoff) = self.failure?;
+        let left = (backoff * role.backoff_factor).saturating_sub(failed_at.elapsed());
         (!left.is_zero()).then_some(left)
     }
 
-    fn tell_role(&mut self, is_reader: bool) {
+    fn report_role(&mut self, is_reader: bool) {
         if is_reader == self.is_reader {
             return;
         }
@@ -116,48 +118,53 @@
         });
     }
 
-    /// Reads everything the first time, and what has changed from then on.
-    async fn read_on(&mut self) -> Result<(), SourceError> {
-        let Some(position) = self.position else { return self.read_whole().await };
-        let waited = self.task.source.wait(position, LONGEST_WAIT).await;
-        match self.counted("wait", waited)? {
+    /// Reads the whole configuration the first time, and waits for changes after that.
+    async fn read_next(&mut self) -> Result<(), SourceError> {
+        let Some(position) = self.position else { return self.read_full().await };
+        let waited = self.task.source.wait(position, MAX_WAIT).await;
+        match self.count_call("wait", waited)? {
             Waited::Changed(sourced, position) => {
                 self.position = Some(position);
-                self.heard(Some(*sourced));
+                self.forward_update(Some(*sourced));
                 Ok(())
             }
             Waited::Unchanged(position) => {
-                self.heard(None);
-                self.confirm(position).await
+                self.forward_update(None);
+                self.check_for_missed_change(position).await
             }
             Waited::Lost => {
                 self.task.telemetry.emit(Event::WatchLost { position: position.0 });
-                self.read_whole().await
+                self.read_full().await
             }
         }
     }
 
-    /// A wait may have missed a change: if history has moved on, everything is read anew.
-    async fn confirm(&mut self, position: Position) -> Result<(), SourceError> {
-        let present = self.task.source.position().await;
-        let present = self.counted("position", present)?;
-        if present > position {
-            return self.read_whole().await;
+    /// Reads the whole configuration again if the store's position has advanced, because the wait may have
+    /// missed a change.
+    async fn check_for_missed_change(&mut self, position: Position) -> Result<(), SourceError> {
+        let current = self.task.source.position().await;
+        let current = self.count_call("position", current)?;
+        if current > position {
+            return self.read_full().await;
         }
         self.position = Some(position);
         Ok(())
     }
 
-    async fn read_whole(&mut self) -> Result<(), SourceError> {
+    async fn read_full(&mut self) -> Result<(), SourceError> {
         let read = self.task.source.read().await;
-        let (sourced, position) = self.counted("read", read)?;
+        let (sourced, position) = self.count_call("read", read)?;
         self.position = Some(position);
-        self.heard(sourced);
+        self.forward_update(sourced);
         Ok(())
     }
 
-    /// Counts a call to the store by what came of it.
-    fn counted<T>(&self, operation: &'static str, result: Result<T, SourceError>) -> Result<T, SourceError> {
+    /// Counts a call to the store by its outcome and returns the result.
+    fn count_call<T>(
+        &self,
+        operation: &'static str,
+        result: Result<T, SourceError>,
+    ) -> Result<T, SourceError> {
         let outcome = match &result {
             Ok(_) => "answered",
             Err(SourceError::Unavailable { .. }) => "unavailable",
@@ -167,8 +174,8 @@
         result
     }
 
-    fn heard(&self, sourced: Option<super::source::Sourced>) {
-        let _ = self.task.membership.send_message(MembershipMessage::StoreHeard);
+    fn forward_update(&self, sourced: Option<super::source::Sourced>) {
+        let _ = self.task.membership.send_message(MembershipMessage::StoreResponded);
         if let Some(sourced) = sourced {
             let _ = self.task.configuration.send_message(ConfigurationMessage::Sourced(Box::new(sourced)));
         }
@@ -176,7 +183,7 @@
 
     fn on_available(&mut self) {
         self.failure = None;
-        self.pause = FIRST_PAUSE;
+        self.backoff = INITIAL_BACKOFF;
         if !self.is_available {
             self.is_available = true;
             self.task.telemetry.emit(Event::PlatformAvailable {});
@@ -196,29 +203,26 @@
                 self.task.telemetry.emit(Event::ObjectUnreadable { object, reason });
             }
         }
-        let pause = self.pause.mul_f64(0.5 + 0.5 * self.random.random::<f64>());
-        self.pause = (self.pause * 2).min(LONGEST_PAUSE);
-        self.failure = Some((Instant::now(), pause));
+        let backoff = self.backoff.mul_f64(0.5 + 0.5 * self.random.random::<f64>());
+        self.backoff = (self.backoff * 2).min(MAX_BACKOFF);
+        self.failure = Some((Instant::now(), backoff));
     }
 }
 
-/// Whether this node is one of those that read the store, as its membership sees the others.
-pub(crate) async fn finds_itself_reader(
+/// Whether this node has the reader role, given the other nodes that its membership knows.
+pub(crate) async fn is_store_reader(
     membership: &ActorRef<MembershipMessage>,
     settings: &ReaderSettings,
 ) -> bool {
-    turn_of_own(membership, settings).await.is_some()
+    own_role(membership, settings).await.is_some()
 }
 
-async fn turn_of_own(
-    membership: &ActorRef<MembershipMessage>,
-    settings: &ReaderSettings,
-) -> Option<ReaderRole> {
-    let asked = membership.call(MembershipMessage::StoreView, Some(ACTOR_TIME)).await;
-    let Ok(CallResult::Success(view)) = asked else { return None };
+async fn own_role(membership: &ActorRef<MembershipMessage>, settings: &ReaderSettings) -> Option<ReaderRole> {
+    let reply = membership.call(MembershipMessage::StoreView, Some(ACTOR_TIMEOUT)).await;
+    let Ok(CallResult::Success(view)) = reply else { return None };
     let StoreView { own, others, silent_for, has_store_contact, has_joined } = view;
     let others: Vec<&NodeName> = others.iter().collect();
-    let turn =
+    let role =
         reader_role(settings, ReaderContext { own: &own, others: &others, silent_for, has_store_contact });
-    turn.filter(|_| has_joined)
+    role.filter(|_| has_joined)
 }
--- a/crates/daemon/src/configuration/source.rs
+++ b/crates/daemon/src/configuration/source.rs
@@ -1,4 +1,4 @@
-//! Where configurations come from.
+//! The source of configurations.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use umberpond_config::Snapshot;
 use umberpond_model::Version;
 
-/// A place in the store's history.
+/// A position in the store's history.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Position(pub u64);
 
@@ -20,30 +20,30 @@
     pub snapshot: Snapshot,
 }
 
-/// What came of waiting for a change.
+/// Result of waiting for a change.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Waited {
     /// A newer configuration.
     Changed(Box<Sourced>, Position),
-    /// Nothing has changed.
+    /// There was no change up to this position.
     Unchanged(Position),
-    /// The store no longer tells changes from there on; the whole has to be read.
+    /// The store no longer has the changes since that position; the whole configuration has to be read.
     Lost,
 }
 
-/// A call to the store that failed. Nothing was changed by it.
+/// A failed read from the store. The active configuration stays in place.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SourceError {
-    /// No answer, or one that says to come back later.
-    #[error("the store can't be reached: {reason}")]
+    /// The store didn't respond, or asked to retry later.
+    #[error("the store is unavailable: {reason}")]
     Unavailable {
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
-    /// The configuration in the store can't be understood. What is in force stays in force.
-    #[error("the configuration can't be understood: {reason}")]
+    /// The configuration in the store can't be decoded.
+    #[error("the configuration can't be decoded: {reason}")]
     Unreadable {
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
 }
@@ -51,22 +51,22 @@
 /// The store as the source of configurations.
 #[async_trait]
 pub trait ConfigurationSource: Send + Sync + 'static {
-    /// The newest configuration, if there is one, and the place in history at which it was read.
+    /// The newest configuration, if there is one, and the position in the history at which it was read.
     ///
     /// # Errors
-    /// Returns [`SourceError`] when it can't be had.
+    /// Returns [`SourceError`] when it can't be read.
     async fn read(&self) -> Result<(Option<Sourced>, Position), SourceError>;
 
-    /// Waits up to `longest` for a configuration that is newer than what was read at `after`.
+    /// Waits up to `longest` for a configuration that is newer than the one read at `after`.
     ///
     /// # Errors
-    /// Returns [`SourceError`] when the store does not answer.
+    /// Returns [`SourceError`] when the store is unavailable or the configuration can't be decoded.
     async fn wait(&self, after: Position, longest: Duration) -> Result<Waited, SourceError>;
 
-    /// The present place in history, by a cheap call. If it has moved on, something may have changed that a wait has
-    /// missed.
+    /// The current position in the history, read by a cheap call. If it has advanced, a wait may have missed
+    /// a change.
     ///
     /// # Errors
-    /// Returns [`SourceError`] when the store does not answer.
+    /// Returns [`SourceError`] when the store is unavailable.
     async fn position(&self) -> Result<Position, SourceError>;
 }
--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -1,8 +1,9 @@
-//! How nodes find one another at the start: each writes a small object of itself to the store and reads the others'.
+//! Node discovery at startup: each node writes an entry to the store and reads the entries of the others.
 //!
-//! Hundreds of nodes that start together should not press the store: the list may be read from a copy that is some seconds
-//! old, as long as it holds this node's own entry, for then it holds all that were written before; and an entry that an
-//! earlier process of this node has written is not written again.
+//! Hundreds of nodes that start together must not overload the store. The list may therefore come from a copy
+//! that is some seconds old, provided that it contains this node's own entry, since it then contains all
+//! entries written before that one. An entry that an earlier process of this node has written is not written
+//! again.
 
 #[cfg(test)]
 mod tests;
@@ -21,40 +22,40 @@
 
 use crate::membership::MembershipMessage;
 
-/// First pause after a call that failed, or that read a list too old.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
-/// Least part of a pause that is made.
-const SHORTEST_PAUSE_SHARE: f64 = 0.5;
-/// Longest pause after a failed call.
-const LONGEST_PAUSE: Duration = Duration::from_secs(2);
+/// Initial backoff after a call that failed or returned a stale list.
+const INITIAL_BACKOFF: Duration = Duration::from_millis(200);
+/// Lower bound of the random factor on the backoff.
+const MIN_BACKOFF_FACTOR: f64 = 0.5;
+/// Maximum backoff.
+const MAX_BACKOFF: Duration = Duration::from_secs(2);
 
-/// A call to the directory that failed. It may have had its effect.
+/// A failed call to the directory. A write may still have taken effect.
 #[derive(Debug, Clone, Error)]
-#[error("the directory of nodes can't be reached: {reason}")]
+#[error("the directory of nodes is unavailable: {reason}")]
 pub struct DirectoryError {
-    /// Why.
+    /// Cause of the failure.
     pub reason: String,
 }
 
-/// The nodes as the store lists them.
+/// The nodes that the store lists.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
-    /// Their entries, some of which may be of nodes that are gone.
+    /// The entries, some of which may belong to nodes that no longer exist.
     pub introductions: Vec<DirectoryEntry>,
-    /// Whether entries that were written before the call may be missing.
+    /// Whether entries written before the call may be missing.
     pub may_be_stale: bool,
 }
 
-/// Where the store keeps the entries of all nodes.
+/// The directory in which the store keeps the entries of all nodes.
 #[async_trait]
 pub trait MemberDirectory: Send + Sync + 'static {
-    /// Writes this node's entry; writing it again changes nothing.
+    /// Writes this node's entry. The call is idempotent.
     ///
     /// # Errors
-    /// Returns [`DirectoryError`] when it is not known that the entry stands.
-    async fn announce(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError>;
+    /// Returns [`DirectoryError`] when the write is not confirmed.
+    async fn announce(&self, directory_entry: &DirectoryEntry) -> Result<(), DirectoryError>;
 
-    /// All entries, from an older copy if the store has one that is cheaper to read.
+    /// Lists all entries, from an older copy if the store has one that is cheaper to read.
     ///
     /// # Errors
     /// Returns [`DirectoryError`] when they can't be read.
@@ -63,45 +64,45 @@
     /// Removes this node's entry.
     ///
     /// # Errors
-    /// Returns [`DirectoryError`] when it is not known that the entry is gone.
-    async fn withdraw(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError>;
+    /// Returns [`DirectoryError`] when the removal is not confirmed.
+    async fn withdraw(&self, directory_entry: &DirectoryEntry) -> Result<(), DirectoryError>;
 }
 
-/// What joining needs.
+/// Arguments of the join task.
 pub(crate) struct JoinTask {
     pub(crate) directory: Arc<dyn MemberDirectory>,
     pub(crate) own: DirectoryEntry,
     pub(crate) membership: ActorRef<MembershipMessage>,
-    /// Whether no process of this node has run before.
+    /// Whether this is the first process of this node.
     pub(crate) is_first_start: bool,
     pub(crate) seed: u64,
     pub(crate) telemetry: Telemetry,
 }
 
-/// Whether this node's entry stands in the store, as far as this process knows.
+/// Whether this node's entry exists in the store, as far as this process knows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum OwnEntry {
-    /// It may, from an earlier process.
+    /// The entry of an earlier process may exist.
     Unknown,
-    /// It doesn't.
+    /// There is no entry.
     Missing,
-    /// This process has written it.
+    /// This process has written the entry.
     Written,
 }
 
-/// Sees to it that this node's entry stands, and reads the others': of two nodes that start at once, one at least sees
-/// the other.
+/// Ensures that this node's entry exists, and reads the others. Of two nodes that start at the same time, at
+/// least one sees the other.
 pub(crate) async fn join(task: JoinTask) {
     let mut random = SmallRng::seed_from_u64(task.seed);
-    let mut pause = FIRST_PAUSE;
+    let mut backoff = INITIAL_BACKOFF;
     let mut entry = if task.is_first_start { OwnEntry::Missing } else { OwnEntry::Unknown };
     loop {
         match task.step(&mut entry).await {
             Ok(true) => {
-                let _ = task.membership.send_message(MembershipMessage::MergeOutcome);
+                let _ = task.membership.send_message(MembershipMessage::Joined);
                 return;
             }
-            // The entry is missing, and is written without a pause.
+            // The entry is missing and is written without a backoff.
             Ok(false) if entry == OwnEntry::Missing => continue,
             Ok(false) => {}
             Err(error) => {
@@ -109,31 +110,31 @@
                 task.telemetry.emit(Event::PlatformUnavailable { operation, reason: error.reason });
             }
         }
-        sleep(pause.mul_f64(random.random_range(SHORTEST_PAUSE_SHARE..=1.0))).await;
-        pause = (pause * 2).min(LONGEST_PAUSE);
+        sleep(backoff.mul_f64(random.random_range(MIN_BACKOFF_FACTOR..=1.0))).await;
+        backoff = (backoff * 2).min(MAX_BACKOFF);
     }
 }
 
 impl JoinTask {
-    /// Writes the entry if it is missing, and reads the list; tells whether that was the last step.
+    /// Writes the entry if it is missing and reads the list; returns whether the join is complete.
     async fn step(&self, entry: &mut OwnEntry) -> Result<bool, DirectoryError> {
         if *entry == OwnEntry::Missing {
-            self.counted("announce", self.directory.announce(&self.own).await)?;
+            self.count_call("announce", self.directory.announce(&self.own).await)?;
             *entry = OwnEntry::Written;
         }
-        let listing = self.counted("list", self.directory.list().await)?;
+        let listing = self.count_call("list", self.directory.list().await)?;
         let has_own = listing.introductions.contains(&self.own);
         if *entry == OwnEntry::Unknown && !has_own {
             *entry = OwnEntry::Missing;
         }
         let nodes = listing.introductions.len() as u64;
         self.telemetry.emit(Event::DirectoryRead { nodes });
-        let _ = self.membership.send_message(MembershipMessage::Introductions(listing.introductions));
+        let _ = self.membership.send_message(MembershipMessage::DirectoryEntries(listing.introductions));
         Ok(*entry != OwnEntry::Missing && (has_own || !listing.may_be_stale))
     }
 
-    /// Counts a call to the directory by what came of it.
-    fn counted<T>(
+    /// Counts a call to the directory by its outcome and returns the result.
+    fn count_call<T>(
         &self,
         operation: &'static str,
         result: Result<T, DirectoryError>,
--- a/crates/daemon/src/directory/tests.rs
+++ b/crates/daemon/src/directory/tests.rs
@@ -11,7 +11,7 @@
 use super::{DirectoryError, JoinTask, Listing, MemberDirectory, join};
 use crate::membership::MembershipMessage;
 
-fn introduction(node: &str, port: u16) -> DirectoryEntry {
+fn directory_entry(node: &str, port: u16) -> DirectoryEntry {
     DirectoryEntry {
         node: node.parse().unwrap(),
         control: std::net::SocketAddr::from(([10, 0, 0, 1], port)),
@@ -19,19 +19,19 @@
     }
 }
 
-/// A directory whose list is older than its entries by some reads.
+/// A directory whose list stays stale for a number of reads.
 #[derive(Default)]
-struct SlowCopy {
+struct StaleDirectory {
     entries: Mutex<Vec<DirectoryEntry>>,
-    /// Reads that still get an empty list.
+    /// Number of reads that still return an empty list.
     stale_reads: AtomicU32,
-    /// Calls that are still refused.
+    /// Number of calls that are still refused.
     refusals: AtomicU32,
     announced: AtomicU32,
     listed: AtomicU32,
 }
 
-impl SlowCopy {
+impl StaleDirectory {
     fn refuse(&self) -> Result<(), DirectoryError> {
         let refused =
             self.refusals.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
@@ -40,13 +40,13 @@
 }
 
 #[async_trait]
-impl MemberDirectory for SlowCopy {
-    async fn announce(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
+impl MemberDirectory for StaleDirectory {
+    async fn announce(&self, directory_entry: &DirectoryEntry) -> Result<(), DirectoryError> {
         self.refuse()?;
         self.announced.fetch_add(1, Ordering::Relaxed);
         let mut entries = self.entries.lock();
-        entries.retain(|entry| entry.node != introduction.node);
-        entries.push(introduction.clone());
+        entries.retain(|entry| entry.node != directory_entry.node);
+        entries.push(directory_entry.clone());
         Ok(())
     }
 
@@ -64,10 +64,10 @@
     }
 }
 
-/// Stands in for the membership.
-struct Silent;
+/// A membership actor that ignores all messages.
+struct IgnoringMembership;
 
-impl Actor for Silent {
+impl Actor for IgnoringMembership {
     type Msg = MembershipMessage;
     type State = ();
     type Arguments = ();
@@ -77,41 +77,41 @@
     }
 }
 
-async fn join_with(directory: &Arc<SlowCopy>, is_first_start: bool) {
-    let (membership, _) = Actor::spawn(None, Silent, ()).await.unwrap();
+async fn join_with(directory: &Arc<StaleDirectory>, is_first_start: bool) {
+    let (membership, _) = Actor::spawn(None, IgnoringMembership, ()).await.unwrap();
     let directory: Arc<dyn MemberDirectory> = Arc::clone(directory) as Arc<dyn MemberDirectory>;
     let task = JoinTask {
         directory,
-        own: introduction("own", 7),
+        own: directory_entry("own", 7),
         membership,
         is_first_start,
         seed: 1,
         telemetry: Telemetry::silent(),
     };
-    timeout(Duration::from_secs(60), join(task)).await.expect("it joins");
+    timeout(Duration::from_secs(60), join(task)).await.expect("the node joins");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_process_started_again_does_not_write_the_entry_that_stands() {
-    let directory = Arc::new(SlowCopy::default());
-    directory.entries.lock().push(introduction("own", 7));
+async fn a_restarted_process_does_not_rewrite_its_existing_entry() {
+    let directory = Arc::new(StaleDirectory::default());
+    directory.entries.lock().push(directory_entry("own", 7));
     join_with(&directory, false).await;
     assert_eq!(directory.announced.load(Ordering::Relaxed), 0);
     assert_eq!(directory.listed.load(Ordering::Relaxed), 1);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_at_another_address_writes_its_entry_anew() {
-    let directory = Arc::new(SlowCopy::default());
-    directory.entries.lock().push(introduction("own", 8));
+async fn a_node_with_a_new_address_replaces_its_old_entry() {
+    let directory = Arc::new(StaleDirectory::default());
+    directory.entries.lock().push(directory_entry("own", 8));
     join_with(&directory, false).await;
     assert_eq!(directory.announced.load(Ordering::Relaxed), 1);
-    assert_eq!(*directory.entries.lock(), [introduction("own", 7)]);
+    assert_eq!(*directory.entries.lock(), [directory_entry("own", 7)]);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_list_without_the_own_entry_is_too_old_and_is_read_again() {
-    let directory = Arc::new(SlowCopy::default());
+async fn a_stale_list_without_the_own_entry_is_read_again() {
+    let directory = Arc::new(StaleDirectory::default());
     directory.stale_reads.store(3, Ordering::Relaxed);
     join_with(&directory, true).await;
     assert_eq!(directory.announced.load(Ordering::Relaxed), 1, "an entry is written once");
@@ -119,8 +119,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_refused_call_is_made_again() {
-    let directory = Arc::new(SlowCopy::default());
+async fn a_refused_call_is_retried() {
+    let directory = Arc::new(StaleDirectory::default());
     directory.refusals.store(5, Ordering::Relaxed);
     join_with(&directory, true).await;
     assert_eq!(directory.announced.load(Ordering::Relaxed), 1);
--- a/crates/daemon/src/evacuations/task.rs
+++ b/crates/daemon/src/evacuations/task.rs
@@ -9,7 +9,7 @@
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::store::EvacuationStore;
-use crate::configuration::finds_itself_reader;
+use crate::configuration::is_store_reader;
 use crate::membership::MembershipMessage;
 
 /// Time between two readings: a zone has to be empty within seconds.
@@ -34,7 +34,7 @@
 impl EvacuationTask {
     /// Reads once if this node reads the store for all; gives the pause after it.
     async fn step(&self) -> Duration {
-        if !finds_itself_reader(&self.membership, &ReaderSettings::default()).await {
+        if !is_store_reader(&self.membership, &ReaderSettings::default()).await {
             return LIST_INTERVAL;
         }
         let listed = self.store.list().await;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -3,7 +3,7 @@
 //! [`Daemon::start`] opens the listeners, then starts the actors and tasks: the membership (who else there is), the
 //! configuration (what is in force), the back end (what it says of itself) and the two halves of the request path.
 //! What differs from platform to platform is handed in: the [`configuration::ConfigurationSource`], the [`MemberDirectory`] and the
-//! [`HeaderProfile`](umberpond_forwarding::Dialect). [`Environment`] holds what the simulation replaces.
+//! [`HeaderProfile`](umberpond_forwarding::HeaderProfile). [`Environment`] holds what the simulation replaces.
 
 pub mod back_end;
 pub mod configuration;
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -14,33 +14,33 @@
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::datagrams::send;
-use super::endpoints::{ToldEndpoints, count_by_release};
+use super::endpoints::{PublishedEndpoints, count_by_release};
 use super::evacuated::EvacuationsInForce;
 use super::message::{MembershipMessage, StoreView};
 use super::plans::PlansInForce;
 use super::pools::TokenPools;
-use super::suspects::SuspectSpread;
+use super::suspects::SuspectSync;
 use crate::configuration::ConfigurationMessage;
 use crate::duration::millis;
 use crate::rollouts::RolloutView;
 use crate::suspension::{BootClock, SuspensionWatch};
 
-/// Time between two looks for heartbeats that are due: a quarter of the shortest interval between two to one node.
-const TICK: Duration = Duration::from_millis(50);
-/// Time within which the store is expected to have named the other nodes. Until then this node reads no configuration
-/// from it: the others may have it.
-const JOIN_TIME: Duration = Duration::from_millis(1_500);
+/// Interval at which due heartbeats are sent: a quarter of the shortest heartbeat interval to one node.
+const TICK_INTERVAL: Duration = Duration::from_millis(50);
+/// Timeout for learning the other nodes from the store. Until then this node reads no configuration from the
+/// store, since the other nodes may already hold it.
+const JOIN_TIMEOUT: Duration = Duration::from_millis(1_500);
 
-/// What the actor needs.
+/// Arguments of the actor.
 pub(crate) struct MembershipArguments {
     pub(crate) membership: Membership,
     pub(crate) socket: Arc<BoxDatagrams>,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) outbound: Arc<Outbound>,
     pub(crate) telemetry: Telemetry,
-    /// Goes on while the machine is suspended.
+    /// Clock that advances while the machine is suspended.
     pub(crate) boot_clock: Arc<dyn BootClock>,
-    /// Reports on releases, for the task that coordinates rollouts.
+    /// Channel for reports on releases to the task that coordinates rollouts.
     pub(crate) evidence: mpsc::UnboundedSender<ReleaseEvidence>,
 }
 
@@ -50,11 +50,11 @@
     inbound: Arc<Inbound>,
     outbound: Arc<Outbound>,
     telemetry: Telemetry,
-    told: ToldEndpoints,
+    published: PublishedEndpoints,
     plans: PlansInForce,
     evacuations: EvacuationsInForce,
     pools: TokenPools,
-    suspects: SuspectSpread,
+    suspects: SuspectSync,
     suspension: SuspensionWatch,
     evidence: mpsc::UnboundedSender<ReleaseEvidence>,
     configuration: Option<ActorRef<ConfigurationMessage>>,
@@ -78,14 +78,14 @@
         tokio::spawn(tick(myself));
         Ok(MembershipState {
             pools: TokenPools::new(Arc::clone(arguments.outbound.quotas())),
-            suspects: SuspectSpread::new(Arc::clone(arguments.inbound.quarantine())),
+            suspects: SuspectSync::new(Arc::clone(arguments.inbound.quarantine())),
             suspension: SuspensionWatch::new(arguments.boot_clock),
             membership: arguments.membership,
             socket: arguments.socket,
             inbound: arguments.inbound,
             outbound: arguments.outbound,
             telemetry: arguments.telemetry,
-            told: ToldEndpoints::default(),
+            published: PublishedEndpoints::default(),
             plans: PlansInForce::default(),
             evacuations: EvacuationsInForce::default(),
             evidence: arguments.evidence,
@@ -104,14 +104,14 @@
         let is_tick = matches!(message, MembershipMessage::Tick);
         let outgoing = state.on_message(message);
         send(&state.socket, &outgoing, state.telemetry.metrics());
-        state.tell_notes();
-        state.tell_changes(is_tick);
+        state.emit_events();
+        state.publish_changes(is_tick);
         Ok(())
     }
 }
 
 async fn tick(membership: ActorRef<MembershipMessage>) {
-    let mut ticks = interval(TICK);
+    let mut ticks = interval(TICK_INTERVAL);
     ticks.set_missed_tick_behavior(MissedTickBehavior::Delay);
     loop {
         ticks.tick().await;
@@ -126,7 +126,7 @@
         let now = Instant::now().into_std();
         match message {
             MembershipMessage::Tick => {
-                self.find_suspension(now);
+                self.detect_suspension(now);
                 self.membership.set_load(self.inbound.load());
                 let mut outgoing = self.membership.on_tick(now);
                 outgoing.extend(self.suspects.on_tick(now, &mut self.membership));
@@ -135,21 +135,23 @@
                 outgoing
             }
             MembershipMessage::Datagram { from, datagram } => self.on_datagram(now, from, &datagram),
-            MembershipMessage::Introductions(introductions) => {
-                self.membership.on_directory_entries(now, introductions);
+            MembershipMessage::DirectoryEntries(entries) => {
+                self.membership.on_directory_entries(now, entries);
                 self.membership.on_tick(now)
             }
-            MembershipMessage::MergeOutcome => {
+            MembershipMessage::Joined => {
                 self.has_joined = true;
-                self.tell_sharing_nodes();
-                self.suspects.ask(&mut self.membership)
+                self.update_sharing_nodes();
+                self.suspects.resync(&mut self.membership)
             }
             MembershipMessage::TokenWanted => self.pools.report(&self.membership),
-            MembershipMessage::TellSuspects(records) => SuspectSpread::tell(&mut self.membership, &records),
+            MembershipMessage::BroadcastSuspects(records) => {
+                SuspectSync::broadcast(&mut self.membership, &records)
+            }
             MembershipMessage::BackEnd(back_end) => self.membership.set_back_end(now, back_end),
             MembershipMessage::Phase(phase) => self.membership.set_phase(now, phase),
             MembershipMessage::Version(version) => self.membership.set_version(now, version),
-            MembershipMessage::StoreHeard => {
+            MembershipMessage::StoreResponded => {
                 self.membership.on_store_response(now);
                 Vec::new()
             }
@@ -167,8 +169,8 @@
                 outgoing
             }
             MembershipMessage::Evacuations(listed) => {
-                let told = self.evacuations.to_tell(listed);
-                let outgoing = self.membership.set_evacuations(now, told);
+                let published = self.evacuations.to_publish(listed);
+                let outgoing = self.membership.set_evacuations(now, published);
                 self.follow_evacuations();
                 outgoing
             }
@@ -187,13 +189,14 @@
         }
     }
 
-    /// Tells all parts of the node if the machine was suspended. What follows is what follows a cut of the same length.
-    fn find_suspension(&mut self, now: std::time::Instant) {
+    /// Detects that the machine was suspended and informs all parts of the node. A suspension is handled like
+    /// a network partition of the same length.
+    fn detect_suspension(&mut self, now: std::time::Instant) {
         let Some(suspended) = self.suspension.look() else { return };
         self.telemetry.emit(Event::MachineSuspended { suspended_millis: millis(suspended) });
         self.membership.on_suspended(now, suspended);
         self.outbound.on_suspended(suspended);
-        self.suspects.doubt();
+        self.suspects.request_resync();
     }
 
     fn on_datagram(
@@ -208,7 +211,9 @@
             return Vec::new();
         }
         match datagram {
-            Datagram::Suspects(news) => return self.suspects.on_news(&mut self.membership, from, news),
+            Datagram::Suspects(message) => {
+                return self.suspects.on_message(&mut self.membership, from, message);
+            }
             Datagram::QuotaReport(report) => return self.pools.on_report(from, report),
             Datagram::QuotaGrant(grant) => return self.pools.on_grant(&self.membership, grant),
             _ => {}
@@ -222,15 +227,16 @@
         if let (Some(actor), Some(version), Some(sender)) =
             (&self.configuration, heartbeat.configuration.version, sender)
         {
-            // The sender's own word counts, not where its datagram came from: it may stand behind another address.
-            let by = sender.control;
-            let is_near = sender.locality == self.membership.own().locality;
-            let _ = actor.send_message(ConfigurationMessage::Told { version, by, is_near });
+            // Uses the address in the sender's record rather than the source address of the datagram, which
+            // may differ, for example behind an address translator.
+            let peer = sender.control;
+            let is_same_zone = sender.locality == self.membership.own().locality;
+            let _ = actor.send_message(ConfigurationMessage::PeerVersion { version, peer, is_same_zone });
         }
         outgoing
     }
 
-    /// Sends what the own back end has answered to the coordinators of its rollout.
+    /// Sends the response statistics of the local back end to the coordinators of its rollout.
     fn report(&self, evidence: Box<ReleaseEvidence>) -> Vec<Outgoing> {
         let coordinators = self.membership.coordinators_of(&evidence.service);
         if !self.membership.own().rollouts.is_empty() {
@@ -241,12 +247,12 @@
         outgoing.map(|to| Outgoing { to, datagram: Datagram::Evidence(evidence.clone()) }).collect()
     }
 
-    /// Puts the latest plans that any node tells in force.
+    /// Applies the latest rollout plans that any node publishes.
     fn follow_plans(&mut self, now: std::time::Instant) {
         self.plans.follow(now, &self.membership, &self.inbound, &self.outbound, &self.telemetry);
     }
 
-    /// Puts the latest evacuations that any node tells in force.
+    /// Applies the latest evacuations that any node publishes.
     fn follow_evacuations(&mut self) {
         self.evacuations.follow(&self.membership, &self.outbound, &self.telemetry);
     }
@@ -254,50 +260,52 @@
     fn store_view(&self, now: std::time::Instant) -> StoreView {
         let running = |record: &&MemberRecord| record.phase == MemberPhase::Running;
         let reachable = self.membership.reachable().filter(running).map(|record| record.node.clone());
-        let word_at = self.membership.last_store_contact();
-        let last_seen_at = word_at.unwrap_or(self.started_at);
+        let store_contact = self.membership.last_store_contact();
+        let last_seen_at = store_contact.unwrap_or(self.started_at);
         StoreView {
             own: self.membership.own().node.clone(),
             others: reachable.chain(self.membership.expected_candidates(now).cloned()).collect(),
             silent_for: now.saturating_duration_since(last_seen_at),
-            has_store_contact: word_at.is_some(),
-            has_joined: self.has_joined || now.saturating_duration_since(self.started_at) > JOIN_TIME,
+            has_store_contact: store_contact.is_some(),
+            has_joined: self.has_joined || now.saturating_duration_since(self.started_at) > JOIN_TIMEOUT,
         }
     }
 
-    fn tell_notes(&mut self) {
-        for note in self.membership.take_events() {
-            if matches!(note, MembershipEvent::Stalled { .. } | MembershipEvent::Refuted { .. }) {
-                // It may have missed what the others told one another meanwhile.
-                self.suspects.doubt();
+    fn emit_events(&mut self) {
+        for event in self.membership.take_events() {
+            if matches!(event, MembershipEvent::Stalled { .. } | MembershipEvent::Refuted { .. }) {
+                // This node may have missed suspect messages of other nodes meanwhile.
+                self.suspects.request_resync();
             }
-            self.telemetry.emit(event_of(note));
+            self.telemetry.emit(event_of(event));
         }
     }
 
-    /// Tells the request path who shares the retry budgets and the quotas: all nodes that are known, and those that the store has named and that were not met, since those that can't be
-    /// reached from here spend their parts too. Before the store has named the others that isn't known.
-    fn tell_sharing_nodes(&self) {
+    /// Sets the number of nodes that share the retry budgets and the quotas. It includes unreachable nodes
+    /// and nodes that only the store lists, since these use their shares too. The number is unknown until
+    /// this node has joined.
+    fn update_sharing_nodes(&self) {
         if self.has_joined {
             let others = self.membership.members().count() + self.membership.candidate_count();
             self.outbound.set_sharing_nodes(others + 1);
         }
     }
 
-    /// Tells the request path what has changed: at once if somebody takes no requests any more, otherwise with the next
-    /// tick, so that many that come together are told together.
-    fn tell_changes(&mut self, is_tick: bool) {
+    /// Publishes membership changes to the request path: immediately if a node no longer accepts requests,
+    /// otherwise with the next tick, so that changes which arrive together are published together.
+    fn publish_changes(&mut self, is_tick: bool) {
         let is_due =
             if is_tick { self.membership.take_changed() } else { self.membership.take_urgent_change() };
         if !is_due {
             return;
         }
         self.follow_plans(Instant::now().into_std());
-        // Before the endpoints, so that none of an evacuated zone is used meanwhile.
+        // Applied before the endpoints are published, so that no endpoint of an evacuated zone is chosen
+        // meanwhile.
         self.follow_evacuations();
-        self.tell_sharing_nodes();
+        self.update_sharing_nodes();
         self.pools.on_changed();
-        let endpoints = self.told.update(&self.membership, &self.outbound);
+        let endpoints = self.published.update(&self.membership, &self.outbound);
         self.telemetry.metrics().set_endpoints(endpoints);
         let members = self.membership.members().count() as u64 + 1;
         let reachable = self.membership.reachable_count() as u64 + 1;
@@ -305,8 +313,8 @@
     }
 }
 
-fn event_of(note: MembershipEvent) -> Event {
-    match note {
+fn event_of(event: MembershipEvent) -> Event {
+    match event {
         MembershipEvent::NeighbourSilent { node, silent_for } => {
             Event::NeighbourSilent { node, silent_millis: millis(silent_for) }
         }
--- a/crates/daemon/src/membership/datagrams.rs
+++ b/crates/daemon/src/membership/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams of the membership on the wire.
+//! Encoding, sending and receiving of membership datagrams.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,12 +11,12 @@
 
 use super::message::MembershipMessage;
 
-/// Longest datagram, in bytes; all stay well below it.
-const MAX_DATAGRAM: usize = 8 * 1024;
+/// Size of the receive buffer in bytes; all datagrams stay well below it.
+const MAX_DATAGRAM_BYTES: usize = 8 * 1024;
 /// Pause after a failed receive.
 const RECEIVE_PAUSE: Duration = Duration::from_millis(20);
 
-/// Sends datagrams.
+/// Encodes and sends datagrams.
 pub(super) fn send(socket: &BoxDatagrams, outgoing: &[Outgoing], metrics: &Metrics) {
     for Outgoing { to, datagram } in outgoing {
         let bytes = bitcode::encode(datagram);
@@ -25,13 +25,13 @@
     }
 }
 
-/// Hands every datagram to the membership. Ends with the membership.
+/// Passes each received datagram to the membership actor, until that actor ends.
 pub(crate) async fn receive_datagrams(
     socket: Arc<BoxDatagrams>,
     membership: ActorRef<MembershipMessage>,
     telemetry: Telemetry,
 ) {
-    let mut buffer = vec![0; MAX_DATAGRAM];
+    let mut buffer = vec![0; MAX_DATAGRAM_BYTES];
     loop {
         let Ok((length, sender)) = socket.receive(&mut buffer).await else {
             sleep(RECEIVE_PAUSE).await;
--- a/crates/daemon/src/membership/endpoints.rs
+++ b/crates/daemon/src/membership/endpoints.rs
@@ -1,4 +1,4 @@
-//! From the membership to the endpoints that the request path may choose.
+//! Derives from the membership the endpoints that the request path may choose.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 use umberpond_rollouts::EndpointCounts;
 use umberpond_selection::Endpoint;
 
-/// The endpoints told to the request path last.
+/// The endpoints that were last published to the request path.
 #[derive(Debug, Default)]
-pub(super) struct ToldEndpoints {
+pub(super) struct PublishedEndpoints {
     by_service: BTreeMap<ServiceName, Vec<Endpoint>>,
 }
 
-impl ToldEndpoints {
-    /// Tells the request path what has changed; gives the number of endpoints.
+impl PublishedEndpoints {
+    /// Publishes changed endpoints to the request path; returns the total number of endpoints.
     pub(super) fn update(&mut self, membership: &Membership, outbound: &Outbound) -> usize {
         let found = find(membership);
         let gone: Vec<&ServiceName> =
@@ -33,7 +33,7 @@
     }
 }
 
-/// The back ends that can be reached and have told their release, by service.
+/// The reachable back ends that report a release, by service.
 pub(super) fn count_by_release(membership: &Membership) -> BTreeMap<ServiceName, EndpointCounts> {
     let mut counts: BTreeMap<ServiceName, EndpointCounts> = BTreeMap::new();
     for record in membership.reachable().chain([membership.own()]) {
--- a/crates/daemon/src/membership/evacuated.rs
+++ b/crates/daemon/src/membership/evacuated.rs
@@ -1,27 +1,27 @@
-//! From the evacuations that nodes tell to the request path.
+//! Applies the evacuations that nodes publish to the request path.
 
 use umberpond_forwarding::Outbound;
 use umberpond_membership::Membership;
 use umberpond_model::Evacuations;
 use umberpond_telemetry::{Event, Telemetry};
 
-/// The evacuations in force on this node: the latest that any node has told.
+/// The evacuations in force on this node: the latest that any node has published.
 #[derive(Debug, Default)]
 pub(super) struct EvacuationsInForce {
     held: Evacuations,
 }
 
 impl EvacuationsInForce {
-    /// What this node tells the others once it has read `listed` from the store. What has not changed is told as it was, so that its
-    /// record does not change.
-    pub(super) fn to_tell(&self, listed: Evacuations) -> Evacuations {
+    /// What this node publishes after it has read `listed` from the store. If the zones have not changed,
+    /// that is the value already held, so that this node's record does not change.
+    pub(super) fn to_publish(&self, listed: Evacuations) -> Evacuations {
         if listed.zones == self.held.zones { self.held.clone() } else { listed }
     }
 
-    /// Takes in what all known nodes tell, and tells the request path what is new.
+    /// Merges the evacuations that all reachable nodes publish, and applies changes to the request path.
     pub(super) fn follow(&mut self, membership: &Membership, outbound: &Outbound, telemetry: &Telemetry) {
-        let told = membership.reachable().chain([membership.own()]).map(|record| &record.evacuations);
-        let Some(latest) = told.max_by_key(|told| told.revision) else { return };
+        let published = membership.reachable().chain([membership.own()]).map(|record| &record.evacuations);
+        let Some(latest) = published.max_by_key(|published| published.revision) else { return };
         if !latest.supersedes(&self.held) {
             return;
         }
--- a/crates/daemon/src/membership/message.rs
+++ b/crates/daemon/src/membership/message.rs
@@ -12,54 +12,54 @@
 use crate::configuration::ConfigurationMessage;
 use crate::rollouts::RolloutView;
 
-/// What the membership is told and asked.
+/// A message to the membership actor.
 pub(crate) enum MembershipMessage {
-    /// Time has passed.
+    /// The periodic timer has fired.
     Tick,
-    /// Another node's datagram.
+    /// A datagram of another node.
     Datagram { from: SocketAddr, datagram: Box<Datagram> },
-    /// Nodes that the store names.
-    Introductions(Vec<DirectoryEntry>),
-    /// The store has named all nodes that were there before this one.
-    MergeOutcome,
-    /// This node's word of its back end.
+    /// Nodes that the store lists.
+    DirectoryEntries(Vec<DirectoryEntry>),
+    /// The store has listed all nodes that joined before this one.
+    Joined,
+    /// The current record of the local back end.
     BackEnd(Option<BackEndRecord>),
-    /// This process goes on to another phase.
+    /// This process enters another phase.
     Phase(MemberPhase),
-    /// The version in force on this node.
+    /// The configuration version that is active on this node.
     Version(Version),
-    /// The store itself has answered this node.
-    StoreHeard,
-    /// Where configurations are to be fetched.
+    /// The store has responded to this node.
+    StoreResponded,
+    /// The actor that fetches configurations.
     ConfigurationActor(ActorRef<ConfigurationMessage>),
-    /// The plans that this node tells as a coordinator of rollouts; empty if it is none.
+    /// The plans that this node publishes as a coordinator of rollouts; empty if it is none.
     Rollouts(Vec<RolloutPlan>),
-    /// The evacuations as this node has read them from the store.
+    /// The evacuations that this node has read from the store.
     Evacuations(Evacuations),
-    /// What the own back end has answered, for the coordinators of its rollout.
+    /// Response statistics of the local back end, for the coordinators of its rollout.
     ReportEvidence(Box<ReleaseEvidence>),
     /// A request waits for a token of its tenant.
     TokenWanted,
-    /// What was found here of requests that may end back ends.
-    TellSuspects(Vec<SuspectRecord>),
-    /// Asks for what is known of rollouts.
+    /// Findings of this node on requests that may crash back ends.
+    BroadcastSuspects(Vec<SuspectRecord>),
+    /// Requests the known rollout plans and endpoints.
     RolloutView(RpcReplyPort<RolloutView>),
-    /// Asks for all other nodes.
+    /// Requests all other nodes.
     Members(RpcReplyPort<Vec<MemberView>>),
-    /// Asks who could read the store.
+    /// Requests the nodes that may read the store.
     StoreView(RpcReplyPort<StoreView>),
 }
 
-/// Who could read the store.
+/// The nodes that may read the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct StoreView {
     pub(crate) own: NodeName,
-    /// The others that can be reached, or that the store has just named.
+    /// The other nodes that are reachable, or that the store has just listed.
     pub(crate) others: Vec<NodeName>,
-    /// Time since any node heard from the store, as far as known here, or since this process started.
+    /// Time since any node is known to have had a response from the store, or since this process started.
     pub(crate) silent_for: Duration,
-    /// Whether any node is known to have heard from the store.
+    /// Whether any node is known to have had a response from the store.
     pub(crate) has_store_contact: bool,
-    /// Whether the others are known, as far as the store can name them.
+    /// Whether this node has learned the other nodes from the store, or the timeout for that has passed.
     pub(crate) has_joined: bool,
 }
--- a/crates/daemon/src/membership/mod.rs
+++ b/crates/daemon/src/membership/mod.rs
@@ -1,4 +1,4 @@
-//! Who else there is: the membership core, driven by datagrams and a timer.
+//! Runs the membership protocol, driven by datagrams and a timer.
 
 mod actor;
 mod datagrams;
--- a/crates/daemon/src/membership/plans.rs
+++ b/crates/daemon/src/membership/plans.rs
@@ -1,4 +1,4 @@
-//! From the plans of rollouts that nodes tell to the request path.
+//! Applies the rollout plans that nodes publish to the request path.
 
 use std::time::Instant;
 
@@ -20,7 +20,7 @@
         self.held.clone()
     }
 
-    /// Takes in what all known nodes tell, and tells the request path what is new.
+    /// Merges the plans that all reachable nodes publish, and applies new ones to the request path.
     pub(super) fn follow(
         &mut self,
         now: Instant,
@@ -39,7 +39,7 @@
         inbound.set_release_open(self.is_own_release_open(membership));
     }
 
-    /// Whether the plan for the own back end's service leaves its release any requests.
+    /// Whether the plan for the local back end's service assigns any requests to its release.
     fn is_own_release_open(&self, membership: &Membership) -> bool {
         let Some(back_end) = &membership.own().back_end else { return true };
         let Some(release) = &back_end.release else { return true };
--- a/crates/daemon/src/membership/pools.rs
+++ b/crates/daemon/src/membership/pools.rs
@@ -1,4 +1,4 @@
-//! Reports of this node to the pools of tokens, and its answers as one of them.
+//! Sends quota reports of this node to the token pools, and responds to reports if this node is a pool.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,75 +7,76 @@
 use umberpond_membership::{Datagram, Membership, Outgoing};
 use umberpond_quotas::{QuotaGrant, QuotaReport};
 
-/// Nodes for which there is one pool: it hears from each of them some times a second.
+/// Number of nodes per pool. Each of them sends the pool several reports a second.
 const NODES_PER_POOL: usize = 10;
-/// Most pools. The more there are, the thinner the tokens of a small tenant are spread.
-const MOST_POOLS: usize = 16;
+/// Maximum number of pools. The more pools there are, the fewer tokens of a small tenant each of them has.
+const MAX_POOLS: usize = 16;
 
-/// The pools as this node finds them.
+/// The token pools that this node has selected.
 #[derive(Debug)]
 pub(super) struct TokenPools {
     gate: Arc<QuotaGate>,
-    /// Where they are; absent for the one of this node.
-    places: Vec<Option<SocketAddr>>,
-    /// Whether the nodes that can be reached have changed since the pools were found.
-    are_places_stale: bool,
+    /// Addresses of the pools; `None` stands for the pool on this node.
+    addresses: Vec<Option<SocketAddr>>,
+    /// Whether the reachable nodes have changed since the pools were selected.
+    are_addresses_stale: bool,
     next: usize,
 }
 
 impl TokenPools {
     pub(super) const fn new(gate: Arc<QuotaGate>) -> Self {
-        Self { gate, places: Vec::new(), are_places_stale: true, next: 0 }
+        Self { gate, addresses: Vec::new(), are_addresses_stale: true, next: 0 }
     }
 
-    /// Takes in that the nodes that can be reached have changed.
+    /// Handles a change of the reachable nodes.
     pub(super) const fn on_changed(&mut self) {
-        self.are_places_stale = true;
+        self.are_addresses_stale = true;
     }
 
-    /// Finds the pools among the nodes that can be reached.
+    /// Selects the pools among the reachable nodes.
     fn find(&mut self, membership: &Membership) {
         let count = (membership.reachable_count() + 1) / NODES_PER_POOL;
-        self.places = membership.first_ranked(count.clamp(1, MOST_POOLS));
-        self.are_places_stale = false;
+        self.addresses = membership.first_ranked(count.clamp(1, MAX_POOLS));
+        self.are_addresses_stale = false;
     }
 
-    /// Reports to the next pool, if there is anything to report. The pool of this node answers at once.
+    /// Sends a report to the next pool, if there is anything to report. The pool on this node responds
+    /// immediately.
     pub(super) fn report(&mut self, membership: &Membership) -> Vec<Outgoing> {
         if !self.gate.has_quotas() {
             return Vec::new();
         }
-        if self.are_places_stale {
+        if self.are_addresses_stale {
             self.find(membership);
         }
-        for _ in 0..self.places.len() {
+        for _ in 0..self.addresses.len() {
             let Some(report) = self.gate.next_report() else { return Vec::new() };
-            self.next = (self.next + 1) % self.places.len();
-            if let Some(to) = self.places[self.next] {
+            self.next = (self.next + 1) % self.addresses.len();
+            if let Some(to) = self.addresses[self.next] {
                 return vec![Outgoing { to, datagram: Datagram::QuotaReport(Box::new(report)) }];
             }
             if let Some(grant) = self.gate.on_report(&report) {
-                self.gate.on_grant(&grant, self.places.len());
+                self.gate.on_grant(&grant, self.addresses.len());
             }
         }
         Vec::new()
     }
 
-    /// Tokens that this node was given and nobody used, since the last call.
+    /// Number of tokens granted to this node that expired unused since the last call.
     pub(super) fn take_expired_tokens(&self) -> u64 {
         self.gate.take_expired_tokens()
     }
 
-    /// Answers the report of the node at `from`.
+    /// Responds to the report of the node at `from`.
     pub(super) fn on_report(&self, from: SocketAddr, report: &QuotaReport) -> Vec<Outgoing> {
         let grant = self.gate.on_report(report).filter(|grant| !grant.granted.is_empty());
         let grant = grant.map(|grant| Outgoing { to: from, datagram: Datagram::QuotaGrant(grant) });
         grant.into_iter().collect()
     }
 
-    /// Takes in the answer of a pool, and asks the next one for what is missing.
+    /// Handles a grant of a pool, and requests missing tokens from the next one.
     pub(super) fn on_grant(&mut self, membership: &Membership, grant: &QuotaGrant) -> Vec<Outgoing> {
-        self.gate.on_grant(grant, self.places.len());
+        self.gate.on_grant(grant, self.addresses.len());
         self.report(membership)
     }
 }
--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -1,7 +1,9 @@
-//! Tells the other nodes what is found of requests that may end back ends, and takes in what they tell.
+//! Exchanges findings on requests that may crash back ends with other nodes.
 //!
-//! What is found is told at once to all, or to a few who pass it on. Each second every node that knows of anything shows one other, drawn at random, a sum of it; where two
-//! sums differ both tell the other what it lacks. So a node that was cut off, or has just started, knows it after a second or two.
+//! A finding is sent immediately to all nodes, or to a few that forward it. In addition, each node that has
+//! any findings sends a digest of them to one random node each second. If the digests differ, both nodes send
+//! each other the records that the other lacks. A node that was unreachable or has just started is thus up to
+//! date after one or two seconds.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -11,48 +13,49 @@
 use umberpond_membership::{Datagram, Membership, Outgoing, SuspectMessage};
 use umberpond_quarantine::{RequestFingerprint, SuspectRecord};
 
-/// Time between two comparisons. With one of each node a second, a node that was not told of something is left without a comparison for three seconds with a chance of
-/// e^-3; most have heard of it long before.
-const COMPARE_INTERVAL: Duration = Duration::from_secs(1);
-/// Most records in one datagram; one has 50 to 110 bytes.
+/// Interval between two digests that a node sends. With one digest per node and second, a node that missed a
+/// finding gets no digest for three seconds with a probability of e^-3; most nodes receive the finding long
+/// before.
+const DIGEST_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum number of records in one datagram; a record takes 50 to 110 bytes.
 const MAX_RECORDS: usize = 24;
-/// Nodes that are asked for all that they know once this one has joined, or may have missed something.
-const ASKED: usize = 3;
+/// Number of nodes whose records are requested once this node has joined or may have missed messages.
+const RESYNC_PEERS: usize = 3;
 
-/// What this node tells of requests under suspicion.
+/// Synchronizes the records of suspected requests with other nodes.
 #[derive(Debug)]
-pub(super) struct SuspectSpread {
+pub(super) struct SuspectSync {
     quarantine: Arc<Quarantine>,
-    compare_next_at: Option<Instant>,
-    /// Whether others should be asked for all that they know.
-    is_in_doubt: bool,
+    next_digest_at: Option<Instant>,
+    /// Whether the next tick requests the records of other nodes.
+    needs_resync: bool,
 }
 
-impl SuspectSpread {
+impl SuspectSync {
     pub(super) const fn new(quarantine: Arc<Quarantine>) -> Self {
-        Self { quarantine, compare_next_at: None, is_in_doubt: false }
+        Self { quarantine, next_digest_at: None, needs_resync: false }
     }
 
-    /// Tells what was found here.
-    pub(super) fn tell(membership: &mut Membership, records: &[SuspectRecord]) -> Vec<Outgoing> {
+    /// Sends findings of this node to other nodes.
+    pub(super) fn broadcast(membership: &mut Membership, records: &[SuspectRecord]) -> Vec<Outgoing> {
         let audience = membership.audience();
-        audience.into_iter().flat_map(|to| in_parts(to, records, SuspectMessage::Told)).collect()
+        audience.into_iter().flat_map(|to| in_datagrams(to, records, SuspectMessage::Told)).collect()
     }
 
-    /// Takes in what the node at `from` tells.
-    pub(super) fn on_news(
+    /// Handles a message of the node at `from`.
+    pub(super) fn on_message(
         &self,
         membership: &mut Membership,
         from: SocketAddr,
-        news: &SuspectMessage,
+        message: &SuspectMessage,
     ) -> Vec<Outgoing> {
-        match news {
+        match message {
             SuspectMessage::Told(records) => {
                 let changed = self.quarantine.join(records, FindingSource::Node).changed;
                 if changed.is_empty() || membership.broadcasts_to_all() {
                     return Vec::new();
                 }
-                Self::tell(membership, &self.quarantine.records(&changed))
+                Self::broadcast(membership, &self.quarantine.records(&changed))
             }
             SuspectMessage::Digest(digest) => {
                 if self.quarantine.digest().unwrap_or_default() == *digest {
@@ -61,72 +64,73 @@
                 repair(from, &self.quarantine.repair_records(), true)
             }
             SuspectMessage::Repair { records, wants_response } => {
-                let lacking = self.lacking_there(records);
-                if lacking.is_empty() || !wants_response {
+                let missing = self.missing_at_sender(records);
+                if missing.is_empty() || !wants_response {
                     return Vec::new();
                 }
-                repair(from, &lacking, false)
+                repair(from, &missing, false)
             }
         }
     }
 
-    /// Joins what another node has sent of all that it knows; gives what that one lacks.
-    fn lacking_there(&self, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
-        let joined = self.quarantine.join(records, FindingSource::Node);
-        let told = |fingerprint: &RequestFingerprint| {
+    /// Merges the records that another node has sent; returns those that the sender lacks.
+    fn missing_at_sender(&self, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
+        let outcome = self.quarantine.join(records, FindingSource::Node);
+        let was_sent = |fingerprint: &RequestFingerprint| {
             records.iter().any(|record| record.fingerprint == *fingerprint)
         };
-        let untold = self.quarantine.repair_records().into_iter();
-        let mut lacking: Vec<SuspectRecord> = untold.filter(|record| !told(&record.fingerprint)).collect();
-        lacking.extend(self.quarantine.records(&joined.sender_outdated));
-        lacking
+        let own_records = self.quarantine.repair_records().into_iter();
+        let mut missing: Vec<SuspectRecord> =
+            own_records.filter(|record| !was_sent(&record.fingerprint)).collect();
+        missing.extend(self.quarantine.records(&outcome.sender_outdated));
+        missing
     }
 
-    /// Asks some nodes with the next tick for all that they know: this one may have missed something.
-    pub(super) const fn doubt(&mut self) {
-        self.is_in_doubt = true;
+    /// Requests the records of some nodes with the next tick, because this node may have missed messages.
+    pub(super) const fn request_resync(&mut self) {
+        self.needs_resync = true;
     }
 
-    /// Shows another node what is known here, if that is due, or asks some for all that they know.
+    /// Sends a digest to another node if one is due, or requests the records of some nodes.
     pub(super) fn on_tick(&mut self, now: Instant, membership: &mut Membership) -> Vec<Outgoing> {
-        if std::mem::take(&mut self.is_in_doubt) {
-            return self.ask(membership);
+        if std::mem::take(&mut self.needs_resync) {
+            return self.resync(membership);
         }
-        if self.compare_next_at.is_some_and(|at| now < at) {
+        if self.next_digest_at.is_some_and(|at| now < at) {
             return Vec::new();
         }
-        self.compare_next_at = Some(now + COMPARE_INTERVAL);
-        // Where nothing is known there is nothing that others could lack.
+        self.next_digest_at = Some(now + DIGEST_INTERVAL);
+        // A node without records has nothing that others could lack.
         let Some(digest) = self.quarantine.digest().filter(|digest| *digest != 0) else { return Vec::new() };
-        let compared = membership.sample_reachable(1).into_iter();
-        compared.map(|to| outgoing(to, SuspectMessage::Digest(digest))).collect()
+        let receivers = membership.sample_reachable(1).into_iter();
+        receivers.map(|to| outgoing(to, SuspectMessage::Digest(digest))).collect()
     }
 
-    /// Asks some nodes for all that they know, and tells them what is known here.
-    pub(super) fn ask(&self, membership: &mut Membership) -> Vec<Outgoing> {
+    /// Sends the records of this node to some nodes and requests theirs.
+    pub(super) fn resync(&self, membership: &mut Membership) -> Vec<Outgoing> {
         let records = self.quarantine.repair_records();
-        let asked = membership.sample_reachable(ASKED).into_iter();
-        asked.flat_map(|to| repair(to, &records, true)).collect()
+        let peers = membership.sample_reachable(RESYNC_PEERS).into_iter();
+        peers.flat_map(|to| repair(to, &records, true)).collect()
     }
 }
 
-/// The datagrams of a repair; one without records asks for those of the other node.
+/// The datagrams of a repair. Without records it is a single datagram that requests those of the other node.
 fn repair(to: SocketAddr, records: &[SuspectRecord], wants_response: bool) -> Vec<Outgoing> {
     let repair = |records| SuspectMessage::Repair { records, wants_response };
     if records.is_empty() {
         return vec![outgoing(to, repair(Vec::new()))];
     }
-    in_parts(to, records, repair)
+    in_datagrams(to, records, repair)
 }
 
-fn in_parts(
+fn in_datagrams(
     to: SocketAddr,
     records: &[SuspectRecord],
-    news: impl Fn(Vec<SuspectRecord>) -> SuspectMessage,
+    message: impl Fn(Vec<SuspectRecord>) -> SuspectMessage,
 ) -> Vec<Outgoing> {
-    records.chunks(MAX_RECORDS).map(|part| outgoing(to, news(part.to_vec()))).collect()
+    records.chunks(MAX_RECORDS).map(|part| outgoing(to, message(part.to_vec()))).collect()
 }
 
-const fn outgoing(to: SocketAddr, news: SuspectMessage) -> Outgoing {
-    Outgoing { to, datagram: Datagram::Suspects(news) }
+const fn outgoing(to: SocketAddr, message: SuspectMessage) -> Outgoing {
+    Outgoing { to, datagram: Datagram::Suspects(message) }
 }
--- a/crates/daemon/src/quarantine/task.rs
+++ b/crates/daemon/src/quarantine/task.rs
@@ -12,7 +12,7 @@
 use umberpond_telemetry::{Event, Telemetry};
 
 use super::store::{QuarantineFreshness, QuarantineStore, StoredQuarantine};
-use crate::configuration::finds_itself_reader;
+use crate::configuration::is_store_reader;
 use crate::membership::MembershipMessage;
 
 /// Time between two looks for something that has to be written or read. The store is the only memory when all processes end at the same moment; a request that ends back ends
@@ -27,7 +27,7 @@
 pub(crate) async fn tell_news(quarantine: Arc<Quarantine>, membership: ActorRef<MembershipMessage>) {
     loop {
         let records = quarantine.take_updates().await;
-        if membership.send_message(MembershipMessage::TellSuspects(records)).is_err() {
+        if membership.send_message(MembershipMessage::BroadcastSuspects(records)).is_err() {
             return;
         }
     }
@@ -66,7 +66,7 @@
         if !self.has_read {
             self.has_read = self.read(QuarantineFreshness::MayBeStale).await.is_some();
         }
-        if !finds_itself_reader(&self.task.membership, &ReaderSettings::default()).await {
+        if !is_store_reader(&self.task.membership, &ReaderSettings::default()).await {
             self.stored = None;
             return;
         }
--- a/crates/daemon/src/rollouts/task.rs
+++ b/crates/daemon/src/rollouts/task.rs
@@ -20,7 +20,7 @@
 
 use super::store::{RolloutStore, WriteError};
 use crate::back_end::BackEndMonitor;
-use crate::configuration::{SourceError, finds_itself_reader};
+use crate::configuration::{SourceError, is_store_reader};
 use crate::membership::MembershipMessage;
 
 /// Time between two looks while no rollout goes on.
@@ -143,7 +143,7 @@
     }
 
     async fn coordinate(&mut self, view: &RolloutView) {
-        let is_reader = finds_itself_reader(&self.task.membership, &ReaderSettings::default()).await;
+        let is_reader = is_store_reader(&self.task.membership, &ReaderSettings::default()).await;
         if !is_reader {
             self.stop_coordinating();
             return;
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -25,7 +25,7 @@
 use crate::back_end::{BackEndMonitor, CheckSettings, check_periodically, follow_warmth, probe_at_start};
 use crate::configuration::{
     Activation, ConfigurationActor, ConfigurationArguments, ConfigurationMessage, ConfigurationSource,
-    ReaderTask, finds_itself_reader, read_store, serve_peers,
+    ReaderTask, is_store_reader, read_store, serve_peers,
 };
 use crate::directory::{JoinTask, MemberDirectory, join};
 use crate::environment::{Environment, SeedUse};
@@ -101,7 +101,7 @@
         let outbound = start_outbound(&config, &environment, extensions.header_profile, &inbound);
         let activation =
             Arc::new(Activation::new(Arc::clone(&outbound), config.seal_key.clone(), telemetry.clone()));
-        let introduction = DirectoryEntry {
+        let directory_entry = DirectoryEntry {
             node: own.node.clone(),
             control: own.control,
             locality: Some(own.locality.clone()),
@@ -137,7 +137,7 @@
             config,
             environment,
             extensions,
-            introduction,
+            directory_entry,
             inbound,
             outbound,
             activation,
@@ -201,7 +201,7 @@
     pub(crate) config: NodeConfig,
     pub(crate) environment: Environment,
     pub(crate) extensions: Extensions,
-    pub(crate) introduction: DirectoryEntry,
+    pub(crate) directory_entry: DirectoryEntry,
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) outbound: Arc<Outbound>,
     activation: Arc<Activation>,
@@ -259,7 +259,7 @@
 
     /// Whether this node is one of those that read the store.
     pub async fn reads_store(&self) -> bool {
-        finds_itself_reader(&self.membership, &ReaderSettings::default()).await
+        is_store_reader(&self.membership, &ReaderSettings::default()).await
     }
 
     /// The back end beside this node.
@@ -318,7 +318,7 @@
         }));
         tasks.spawn(join(JoinTask {
             directory: Arc::clone(&self.extensions.directory),
-            own: self.introduction.clone(),
+            own: self.directory_entry.clone(),
             membership: self.membership.clone(),
             is_first_start: self.config.is_first_start,
             seed: self.environment.seed_for(SeedUse::Store).wrapping_add(1),
