--- a/crates/daemon/src/environment.rs
+++ b/crates/daemon/src/environment.rs
@@ -1,4 +1,4 @@
-//! What a daemon needs from its surroundings. The program and the simulation differ here and nowhere else.
+//! The environment of a daemon. Only here do the program and the simulation differ.
 
 use std::fmt;
 use std::sync::Arc;
@@ -8,16 +8,17 @@
 
 use crate::suspension::BootClock;
 
-/// Surroundings of one daemon. There is no global state beside it: many daemons run in one process.
+/// Environment of one daemon. There is no global state besides it, so that many daemons can run in one
+/// process.
 #[derive(Clone)]
 pub struct Environment {
-    /// Opens and accepts every connection and datagram.
+    /// Network for all connections and datagrams.
     pub network: Arc<dyn Network>,
-    /// Seed of all randomness. A process must not reuse the seed of an earlier one.
+    /// Seed of all random numbers. A process must not reuse the seed of an earlier one.
     pub seed: u64,
     /// Events and metrics.
     pub telemetry: Telemetry,
-    /// Goes on while the machine is suspended.
+    /// Clock that advances while the machine is suspended.
     pub boot_clock: Arc<dyn BootClock>,
 }
 
@@ -27,22 +28,22 @@
     }
 }
 
-/// Uses of randomness in a daemon; each has a seed of its own, so that one more draw in one of them does not move the
-/// others.
+/// Uses of random numbers in a daemon. Each has its own seed, so that an additional draw for one of them
+/// doesn't change the others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum SeedUse {
-    /// Identity of the process among the nodes.
+    /// Random number that identifies this process to other nodes.
     Life = 1,
     /// Choices on the request path.
     RequestPath = 2,
-    /// Backoff towards the store.
+    /// Backoff of calls to the store.
     Store = 3,
-    /// Which node is asked for a configuration.
+    /// Choice of the node from which a configuration is fetched.
     Fetch = 4,
 }
 
 impl Environment {
-    /// Seed for one use, spread from the daemon's seed by SplitMix64.
+    /// Seed for one use, derived from the daemon's seed by SplitMix64.
     pub(crate) const fn seed_for(&self, purpose: SeedUse) -> u64 {
         const INCREMENT: u64 = 0x9e37_79b9_7f4a_7c15;
         let mut mixed = self.seed.wrapping_add(INCREMENT.wrapping_mul(purpose as u64));
--- a/crates/daemon/src/error.rs
+++ b/crates/daemon/src/error.rs
@@ -1,4 +1,4 @@
-//! Why a daemon could not start.
+//! Errors of starting a daemon.
 
 use std::io;
 use std::net::SocketAddr;
@@ -6,7 +6,7 @@
 use ractor::SpawnErr;
 use thiserror::Error;
 
-/// A daemon that could not start. Nothing of it is left running.
+/// A daemon could not start. No part of it is left running.
 #[derive(Debug, Error)]
 pub enum StartError {
     /// A listener could not be opened.
@@ -16,7 +16,7 @@
         listener: &'static str,
         /// Its address.
         address: SocketAddr,
-        /// Why.
+        /// Cause of the failure.
         #[source]
         source: io::Error,
     },
--- a/crates/daemon/src/evacuations/mod.rs
+++ b/crates/daemon/src/evacuations/mod.rs
@@ -1,4 +1,4 @@
-//! Evacuations of zones: the nodes that read the store tell all others which zones operators have emptied.
+//! Evacuations of zones: the store readers publish to all nodes which zones operators have evacuated.
 
 mod store;
 mod task;
--- a/crates/daemon/src/evacuations/task.rs
+++ b/crates/daemon/src/evacuations/task.rs
@@ -1,4 +1,4 @@
-//! The task that reads the evacuations, as long as this node reads the store for all.
+//! The task that reads the evacuations while this node is a store reader.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,19 +12,19 @@
 use crate::configuration::is_store_reader;
 use crate::membership::MembershipMessage;
 
-/// Time between two readings: a zone has to be empty within seconds.
+/// Interval between two reads; an evacuated zone has to be empty within seconds.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Pause after a call that failed.
+/// Pause after a failed call.
 const FAILURE_PAUSE: Duration = Duration::from_millis(400);
 
-/// What the task needs.
+/// Arguments of the evacuation task.
 pub(crate) struct EvacuationTask {
     pub(crate) store: Arc<dyn EvacuationStore>,
     pub(crate) membership: ActorRef<MembershipMessage>,
     pub(crate) telemetry: Telemetry,
 }
 
-/// Reads the evacuations without end.
+/// Reads the evacuations until the task is aborted.
 pub(crate) async fn follow_evacuations(task: EvacuationTask) {
     loop {
         sleep(task.step().await).await;
@@ -32,7 +32,7 @@
 }
 
 impl EvacuationTask {
-    /// Reads once if this node reads the store for all; gives the pause after it.
+    /// Reads the evacuations once if this node is a store reader; returns the pause before the next step.
     async fn step(&self) -> Duration {
         if !is_store_reader(&self.membership, &ReaderSettings::default()).await {
             return LIST_INTERVAL;
--- a/crates/daemon/src/http_server.rs
+++ b/crates/daemon/src/http_server.rs
@@ -1,4 +1,4 @@
-//! A small HTTP server for operators, readiness and announcements.
+//! A small HTTP server for operator requests, readiness checks and announcements.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -15,18 +15,18 @@
 use tokio::task::JoinSet;
 use umberpond_net::BoxListener;
 
-/// Longest body of an ordinary question, in bytes.
+/// Body limit of an ordinary request, in bytes.
 pub const ORDINARY_BODY_BYTES: usize = 64 * 1024;
-/// Longest head of a question, in bytes.
+/// Maximum size of a request head, in bytes.
 const MAX_HEAD_BYTES: usize = 16 * 1024;
-/// Longest time for the head of a question.
-const HEAD_TIME: Duration = Duration::from_secs(5);
-/// Most connections served at once.
+/// Timeout for receiving a request head.
+const HEAD_TIMEOUT: Duration = Duration::from_secs(5);
+/// Maximum number of connections served concurrently.
 const MAX_CONNECTIONS: usize = 200;
-/// Pause after a connection that could not be accepted.
+/// Pause after a failure to accept a connection.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
 
-/// A question asked of the daemon.
+/// A request to the daemon.
 #[derive(Debug, Clone)]
 pub struct HttpQuestion {
     /// Method.
@@ -35,11 +35,11 @@
     pub path: String,
     /// Query, if any.
     pub query: Option<String>,
-    /// Whole body.
+    /// Complete body.
     pub body: Bytes,
 }
 
-/// What the daemon answers.
+/// A response of the daemon.
 #[derive(Debug, Clone)]
 pub struct HttpAnswer {
     /// Status.
@@ -48,12 +48,12 @@
     pub content_type: &'static str,
     /// Body.
     pub body: Bytes,
-    /// Seconds after which to ask again, if that makes sense.
+    /// Seconds after which the client should retry, if a retry can succeed.
     pub retry_after_seconds: Option<u64>,
 }
 
 impl HttpAnswer {
-    /// An answer in plain text.
+    /// Creates a plain text response.
     #[must_use]
     pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Self {
         Self {
@@ -64,24 +64,25 @@
         }
     }
 
-    /// An answer in JSON.
+    /// Creates a JSON response.
     #[must_use]
     pub fn json(status: StatusCode, body: impl Into<Bytes>) -> Self {
         Self { status, content_type: "application/json", body: body.into(), retry_after_seconds: None }
     }
 }
 
-/// Answers questions.
+/// Handles requests.
 #[async_trait]
 pub trait HttpHandler: Send + Sync + 'static {
-    /// Answers one question.
-    async fn answer(&self, question: HttpQuestion) -> HttpAnswer;
+    /// Handles one request.
+    async fn answer(&self, request: HttpQuestion) -> HttpAnswer;
 }
 
-/// A handler of any kind.
+/// A shared handler.
 pub type BoxHandler = Arc<dyn HttpHandler>;
 
-/// Serves one listener without end. A question whose body is longer than `body_bytes` is refused.
+/// Serves one listener until the task is aborted. A request whose body is longer than `body_bytes` is
+/// refused.
 pub async fn serve_http(mut listener: BoxListener, handler: BoxHandler, body_bytes: usize) {
     let mut connections = JoinSet::new();
     loop {
@@ -101,16 +102,16 @@
         };
         let handler = Arc::clone(&handler);
         connections.spawn(async move {
-            let service = service_fn(move |request| answer(Arc::clone(&handler), request, body_bytes));
+            let service = service_fn(move |request| respond(Arc::clone(&handler), request, body_bytes));
             let mut server = http1::Builder::new();
-            server.timer(TokioTimer::new()).header_read_timeout(HEAD_TIME).max_buf_size(MAX_HEAD_BYTES);
-            // A connection that breaks concerns nobody but its peer.
+            server.timer(TokioTimer::new()).header_read_timeout(HEAD_TIMEOUT).max_buf_size(MAX_HEAD_BYTES);
+            // A connection error affects only this connection and is not reported.
             let _ = server.serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
-async fn answer(
+async fn respond(
     handler: BoxHandler,
     request: Request<Incoming>,
     body_bytes: usize,
@@ -118,15 +119,15 @@
     let (head, body) = request.into_parts();
     let answer = match Limited::new(body, body_bytes).collect().await {
         Ok(body) => {
-            let question = HttpQuestion {
+            let request = HttpQuestion {
                 method: head.method,
                 path: head.uri.path().to_owned(),
                 query: head.uri.query().map(str::to_owned),
                 body: body.to_bytes(),
             };
-            handler.answer(question).await
+            handler.answer(request).await
         }
-        Err(_too_long_or_broken) => HttpAnswer::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
+        Err(_error) => HttpAnswer::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
     };
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() = answer.status;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -1,9 +1,10 @@
-//! The daemon beside each back end.
+//! The daemon that runs beside each back end.
 //!
-//! [`Daemon::start`] opens the listeners, then starts the actors and tasks: the membership (who else there is), the
-//! configuration (what is in force), the back end (what it says of itself) and the two halves of the request path.
-//! What differs from platform to platform is handed in: the [`configuration::ConfigurationSource`], the [`MemberDirectory`] and the
-//! [`HeaderProfile`](umberpond_forwarding::HeaderProfile). [`Environment`] holds what the simulation replaces.
+//! [`Daemon::start`] opens the listeners and starts the actors and tasks of the membership, the
+//! configuration, the back end monitor and the two halves of the request path. The platform-specific parts
+//! are parameters: the [`configuration::ConfigurationSource`], the [`MemberDirectory`] and the
+//! [`HeaderProfile`](umberpond_forwarding::HeaderProfile). [`Environment`] holds what the simulation
+//! replaces.
 
 pub mod back_end;
 pub mod configuration;
--- a/crates/daemon/src/listeners.rs
+++ b/crates/daemon/src/listeners.rs
@@ -14,11 +14,12 @@
 #[cfg(test)]
 mod tests;
 
-/// Tries to find a port that is free for streams and datagrams alike, if the settings leave the choice of the port to the system. One process in
-/// some hundreds met a port whose datagrams another process had, and didn't start.
-const PORT_TRIES: u32 = 20;
+/// Maximum number of attempts to find a port that is free for both streams and datagrams, if the settings let
+/// the system choose the port. Without retries, one process in several hundred failed to start because
+/// another process used the chosen port for datagrams.
+const MAX_PORT_ATTEMPTS: u32 = 20;
 
-/// Listeners of a daemon, open.
+/// The open listeners of a daemon.
 pub(crate) struct Listeners {
     pub(crate) inbound: BoxListener,
     pub(crate) outbound: BoxListener,
@@ -42,7 +43,7 @@
     }
 }
 
-/// Opens a listener and tells so.
+/// Opens a listener and emits an event for it.
 ///
 /// # Errors
 /// Returns [`StartError::Listen`] if that fails.
@@ -57,18 +58,20 @@
     Ok(opened)
 }
 
-/// Opens the control listener, and the socket for datagrams at the same port.
+/// Opens the control listener and the datagram socket on the same port.
 async fn open_control(
     environment: &Environment,
     address: SocketAddr,
 ) -> Result<(BoxListener, BoxDatagrams), StartError> {
-    let mut tries = 1;
+    let mut attempts = 1;
     loop {
         let control = listen(environment, "control", address).await?;
         let at = control.local_addr();
         match environment.network.datagrams(at).await {
             Ok(datagrams) => return Ok((control, datagrams)),
-            Err(source) if is_port_taken(&source) && address.port() == 0 && tries < PORT_TRIES => tries += 1,
+            Err(source) if is_port_taken(&source) && address.port() == 0 && attempts < MAX_PORT_ATTEMPTS => {
+                attempts += 1
+            }
             Err(source) => return Err(StartError::Listen { listener: "datagrams", address: at, source }),
         }
     }
--- a/crates/daemon/src/listeners/tests.rs
+++ b/crates/daemon/src/listeners/tests.rs
@@ -1,4 +1,4 @@
-//! Ports that are free for streams and taken for datagrams.
+//! Tests of ports that are free for streams but in use for datagrams.
 
 use std::io;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 use crate::environment::Environment;
 use crate::error::StartError;
 
-/// A network that gives out ports one after the other. Datagrams of those below `first_free` belong to somebody else.
+/// A network that assigns consecutive ports. Ports below `first_free` are in use for datagrams.
 struct CrowdedNetwork {
     last_port: AtomicU16,
     first_free: u16,
@@ -28,8 +28,8 @@
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<BoxListener> {
-        let drawn = || self.last_port.fetch_add(1, Ordering::Relaxed) + 1;
-        let port = if at.port() == 0 { drawn() } else { at.port() };
+        let next_port = || self.last_port.fetch_add(1, Ordering::Relaxed) + 1;
+        let port = if at.port() == 0 { next_port() } else { at.port() };
         Ok(Box::new(OpenPort(SocketAddr::new(at.ip(), port))))
     }
 
@@ -79,19 +79,19 @@
 }
 
 #[tokio::test]
-async fn a_port_drawn_by_the_system_is_free_for_streams_and_datagrams() {
+async fn a_port_chosen_by_the_system_is_not_in_use_for_datagrams() {
     let (control, datagrams) = open_control(&crowded(4), address(0)).await.unwrap();
     assert_eq!((control.local_addr(), datagrams.local_addr()), (address(4), address(4)));
 }
 
 #[tokio::test]
-async fn a_port_of_the_settings_is_not_replaced() {
+async fn a_configured_port_in_use_is_not_replaced_by_another() {
     let failed = open_control(&crowded(4), address(3)).await.err();
     assert!(matches!(failed, Some(StartError::Listen { listener: "datagrams", .. })), "{failed:?}");
 }
 
 #[tokio::test]
-async fn the_search_for_a_port_ends() {
+async fn the_search_for_a_free_port_does_not_run_forever() {
     let failed = open_control(&crowded(u16::MAX), address(0)).await.err();
     assert!(matches!(failed, Some(StartError::Listen { .. })), "{failed:?}");
 }
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -192,7 +192,7 @@
     /// Detects that the machine was suspended and informs all parts of the node. A suspension is handled like
     /// a network partition of the same length.
     fn detect_suspension(&mut self, now: std::time::Instant) {
-        let Some(suspended) = self.suspension.look() else { return };
+        let Some(suspended) = self.suspension.check() else { return };
         self.telemetry.emit(Event::MachineSuspended { suspended_millis: millis(suspended) });
         self.membership.on_suspended(now, suspended);
         self.outbound.on_suspended(suspended);
--- a/crates/daemon/src/quarantine/mod.rs
+++ b/crates/daemon/src/quarantine/mod.rs
@@ -1,7 +1,8 @@
-//! Requests that end back ends: what was found here is told on, and what is certain is kept in the store.
+//! Quarantine of requests that crash back ends: findings are sent to other nodes, and confirmed ones are
+//! stored.
 
 mod store;
 mod task;
 
 pub use store::{QuarantineFreshness, QuarantineStore, StoredQuarantine};
-pub(crate) use task::{QuarantineTask, keep_quarantine, tell_news};
+pub(crate) use task::{QuarantineTask, broadcast_findings, sync_quarantine};
--- a/crates/daemon/src/quarantine/store.rs
+++ b/crates/daemon/src/quarantine/store.rs
@@ -1,4 +1,4 @@
-//! The store as the memory of what all nodes together would forget.
+//! Access to the quarantine entries in the store, which outlast the processes of all nodes.
 
 use std::time::Duration;
 
@@ -8,42 +8,42 @@
 use crate::configuration::SourceError;
 use crate::rollouts::WriteError;
 
-/// How recent what is read has to be.
+/// Required freshness of a read.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum QuarantineFreshness {
-    /// All that was ever acknowledged.
+    /// Includes every acknowledged write.
     Latest,
-    /// It may be some seconds old, which is cheaper.
+    /// May be some seconds old, which is cheaper to read.
     MayBeStale,
 }
 
-/// A request that is refused, as the store holds it.
+/// The stored entry of a quarantined request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredQuarantine {
-    /// What was known of it when it was written.
+    /// The record at the time when the entry was written.
     pub record: SuspectRecord,
-    /// Time since then.
+    /// Time since the entry was written.
     pub age: Duration,
 }
 
-/// The store as the place of the requests that are refused.
+/// Stores the quarantined requests.
 #[async_trait]
 pub trait QuarantineStore: Send + Sync + 'static {
-    /// All of them. One that can't be understood is left out, with a line.
+    /// Lists all entries. One that can't be decoded is skipped and logged.
     ///
     /// # Errors
-    /// Returns [`SourceError`] when they can't be had.
+    /// Returns [`SourceError`] when they can't be read.
     async fn list(&self, freshness: QuarantineFreshness) -> Result<Vec<StoredQuarantine>, SourceError>;
 
-    /// Writes one, unless it is there.
+    /// Adds an entry unless it exists.
     ///
     /// # Errors
-    /// Returns [`WriteError`] when that is not known to have been done.
+    /// Returns [`WriteError`] when the write is not confirmed.
     async fn add(&self, record: &SuspectRecord) -> Result<(), WriteError>;
 
-    /// Removes one, if it is there.
+    /// Removes an entry if it exists.
     ///
     /// # Errors
-    /// Returns [`WriteError`] when that is not known to have been done.
+    /// Returns [`WriteError`] when the removal is not confirmed.
     async fn remove(&self, fingerprint: &RequestFingerprint) -> Result<(), WriteError>;
 }
--- a/crates/daemon/src/quarantine/task.rs
+++ b/crates/daemon/src/quarantine/task.rs
@@ -1,4 +1,4 @@
-//! The tasks that tell what was found here, and keep in the store what is certain.
+//! The tasks that send findings of this node to other nodes and keep quarantined requests in the store.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -15,16 +15,18 @@
 use crate::configuration::is_store_reader;
 use crate::membership::MembershipMessage;
 
-/// Time between two looks for something that has to be written or read. The store is the only memory when all processes end at the same moment; a request that ends back ends
-/// and was not written by then may end three more.
+/// Interval between two checks for entries to read or write. If all processes end at the same time, only the
+/// store preserves the findings; a request that crashes back ends and was not written by then may crash three
+/// more.
 const INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two readings of the store by a node that reads it for all, as long as it holds any: an operator lifts a refusal by removing its entry.
+/// Interval between two reads of the store by a store reader, if the store has any entries. An operator lifts
+/// a quarantine by removing its entry.
 const LIFT_INTERVAL: Duration = Duration::from_secs(10);
-/// Entries of the store older than this are removed.
+/// Age at which entries of the store are ignored and removed.
 const LIFETIME: Duration = Duration::from_secs(24 * 3_600);
 
-/// Tells the other nodes what is found here, without end.
-pub(crate) async fn tell_news(quarantine: Arc<Quarantine>, membership: ActorRef<MembershipMessage>) {
+/// Sends findings of this node to other nodes until the membership ends.
+pub(crate) async fn broadcast_findings(quarantine: Arc<Quarantine>, membership: ActorRef<MembershipMessage>) {
     loop {
         let records = quarantine.take_updates().await;
         if membership.send_message(MembershipMessage::BroadcastSuspects(records)).is_err() {
@@ -33,7 +35,7 @@
     }
 }
 
-/// What the task that keeps the quarantine needs.
+/// Arguments of the task that synchronizes the quarantine with the store.
 pub(crate) struct QuarantineTask {
     pub(crate) store: Arc<dyn QuarantineStore>,
     pub(crate) quarantine: Arc<Quarantine>,
@@ -41,27 +43,28 @@
     pub(crate) telemetry: Telemetry,
 }
 
-/// Takes part in keeping the quarantine without end: each node reads once at its start what the store holds, as cheaply as it can be had. Those that read
-/// the store for all read it once more when they begin to, so that nothing recent is missed, and write what it lacks.
-pub(crate) async fn keep_quarantine(task: QuarantineTask) {
-    let mut keeper = QuarantineKeeper { task, has_read: false, stored: None, read_at: Instant::now() };
+/// Synchronizes the quarantine with the store until the task is aborted. Each node reads the stored entries
+/// once at its start, with the cheaper freshness. A node that becomes a store reader reads them once more
+/// with the latest state, so that no recent entry is missed, and writes the missing ones.
+pub(crate) async fn sync_quarantine(task: QuarantineTask) {
+    let mut sync = QuarantineSync { task, has_read: false, stored: None, read_at: Instant::now() };
     loop {
-        keeper.step().await;
+        sync.step().await;
         sleep(INTERVAL).await;
     }
 }
 
-struct QuarantineKeeper {
+struct QuarantineSync {
     task: QuarantineTask,
-    /// Whether what the store holds was read since the start, be it old.
+    /// Whether the store was read since the start, even if the result was stale.
     has_read: bool,
-    /// What the store is known to hold; absent unless this node reads it for all.
+    /// Entries that the store is known to have; absent unless this node is a store reader.
     stored: Option<BTreeSet<RequestFingerprint>>,
-    /// When that was read last.
+    /// When the entries were last read.
     read_at: Instant,
 }
 
-impl QuarantineKeeper {
+impl QuarantineSync {
     async fn step(&mut self) {
         if !self.has_read {
             self.has_read = self.read(QuarantineFreshness::MayBeStale).await.is_some();
@@ -74,12 +77,12 @@
             self.stored = self.read(QuarantineFreshness::Latest).await;
             self.read_at = Instant::now();
         }
-        self.find_lifted().await;
+        self.lift_removed().await;
         self.write().await;
     }
 
-    /// Lifts what somebody has removed from the store.
-    async fn find_lifted(&mut self) {
+    /// Lifts the quarantine of requests whose entries were removed from the store.
+    async fn lift_removed(&mut self) {
         let is_due = self.read_at.elapsed() >= LIFT_INTERVAL;
         let Some(known) = self.stored.clone().filter(|stored| is_due && !stored.is_empty()) else { return };
         self.read_at = Instant::now();
@@ -89,7 +92,7 @@
         self.stored = Some(stored);
     }
 
-    /// Reads what the store holds, and joins it. Absent if that failed.
+    /// Reads the entries of the store and merges them into the quarantine; absent if that failed.
     async fn read(&self, freshness: QuarantineFreshness) -> Option<BTreeSet<RequestFingerprint>> {
         let listed = self.task.store.list(freshness).await;
         self.count("quarantine", listed.is_ok());
@@ -101,27 +104,27 @@
             }
         };
         let fingerprints = stored.iter().map(|stored| stored.record.fingerprint).collect();
-        let records: Vec<SuspectRecord> = stored.into_iter().filter_map(aged).collect();
+        let records: Vec<SuspectRecord> = stored.into_iter().filter_map(with_current_age).collect();
         self.task.quarantine.join(&records, FindingSource::Store);
         Some(fingerprints)
     }
 
-    /// Writes what the store lacks, and removes what is refused no longer.
+    /// Adds missing entries to the store, and removes entries of requests that are no longer quarantined.
     async fn write(&mut self) {
         let Some(stored) = &mut self.stored else { return };
         let refused = self.task.quarantine.quarantined();
         let kept: BTreeSet<RequestFingerprint> = refused.iter().map(|record| record.fingerprint).collect();
         let mut written = Vec::new();
-        let lacking: Vec<&SuspectRecord> =
+        let missing: Vec<&SuspectRecord> =
             refused.iter().filter(|record| !stored.contains(&record.fingerprint)).collect();
-        for record in lacking {
+        for record in missing {
             if self.task.store.add(record).await.is_ok() {
                 stored.insert(record.fingerprint);
                 written.push((record.fingerprint, "added"));
             }
         }
-        let over: Vec<RequestFingerprint> = stored.difference(&kept).copied().collect();
-        for fingerprint in over {
+        let expired: Vec<RequestFingerprint> = stored.difference(&kept).copied().collect();
+        for fingerprint in expired {
             if self.task.store.remove(&fingerprint).await.is_ok() {
                 stored.remove(&fingerprint);
                 written.push((fingerprint, "removed"));
@@ -140,8 +143,8 @@
     }
 }
 
-/// The record with its age of now; absent if it is too old.
-fn aged(stored: StoredQuarantine) -> Option<SuspectRecord> {
+/// The record with its current age; absent if it has expired.
+fn with_current_age(stored: StoredQuarantine) -> Option<SuspectRecord> {
     let age = Duration::from_millis(u64::from(stored.record.age_millis)) + stored.age;
     let age_millis = u32::try_from(age.as_millis()).ok()?;
     (age < LIFETIME).then_some(SuspectRecord { age_millis, ..stored.record })
--- a/crates/daemon/src/readiness.rs
+++ b/crates/daemon/src/readiness.rs
@@ -1,17 +1,17 @@
-//! Whether callers may be sent to this node.
+//! Readiness of this node for callers.
 
 use thiserror::Error;
 
-/// Why callers should not be sent to this node.
+/// Reason why this node is not ready for callers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Unready {
-    /// No configuration is in force.
+    /// No configuration is active.
     #[error("no configuration is in force")]
     NoConfiguration,
-    /// So many connections of callers are open that no further one is accepted.
+    /// The limit of open caller connections is reached, so that no further one is accepted.
     #[error("no further connection is accepted")]
     NoConnections,
-    /// The process was told to stop.
+    /// The process has received a stop request.
     #[error("the process is stopping")]
     Stopping,
 }
--- a/crates/daemon/src/rollouts/mod.rs
+++ b/crates/daemon/src/rollouts/mod.rs
@@ -1,4 +1,4 @@
-//! Rollouts: reports of the own back end's answers, and coordination by the nodes that read the store.
+//! Rollouts: reports on the responses of the local back end, and coordination by the store readers.
 
 mod store;
 mod task;
--- a/crates/daemon/src/rollouts/store.rs
+++ b/crates/daemon/src/rollouts/store.rs
@@ -1,4 +1,5 @@
-//! Where orders of rollouts come from, and where their ends are agreed on.
+//! Access to rollouts in the store: requested rollouts are read from it and their final states are agreed on
+//! there.
 
 use async_trait::async_trait;
 use thiserror::Error;
@@ -7,33 +8,34 @@
 
 use crate::configuration::SourceError;
 
-/// A state that was not written, or may not have been.
+/// A write that failed or is not confirmed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WriteError {
-    /// Another change came before; nothing was written.
-    #[error("the rollout was changed by somebody else")]
+    /// A concurrent change came first; nothing was written.
+    #[error("the rollout was changed concurrently")]
     Conflict,
-    /// No answer, or one that says to come back later. It may have been written.
-    #[error("the store can't be reached: {reason}")]
+    /// The store didn't respond, or asked to retry later. The write may have taken effect.
+    #[error("the store is unavailable: {reason}")]
     Unavailable {
-        /// Why.
+        /// Cause of the failure.
         reason: String,
     },
 }
 
-/// The store as the place of rollouts.
+/// Stores the rollouts and their states.
 #[async_trait]
 pub trait RolloutStore: Send + Sync + 'static {
-    /// All rollouts, ended ones included. One that can't be understood is left out, with a line.
+    /// Lists all rollouts, including ended ones. One that can't be decoded is skipped and logged.
     ///
     /// # Errors
-    /// Returns [`SourceError`] when they can't be had.
+    /// Returns [`SourceError`] when they can't be read.
     async fn list(&self) -> Result<Vec<StoredRollout>, SourceError>;
 
-    /// Writes the state of the rollout of `service` to `target`, if it was not changed since `revision`; gives its new revision.
+    /// Writes the state of the rollout of `service` to `target`, if it was not changed since `revision`;
+    /// returns its new revision.
     ///
     /// # Errors
-    /// Returns [`WriteError`] when that is not known to have been done.
+    /// Returns [`WriteError`] when the write is not confirmed.
     async fn write(
         &self,
         service: &ServiceName,
--- a/crates/daemon/src/rollouts/task.rs
+++ b/crates/daemon/src/rollouts/task.rs
@@ -1,4 +1,4 @@
-//! The task by which a node takes part in rollouts.
+//! The task by which a node participates in rollouts.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -23,30 +23,31 @@
 use crate::configuration::{SourceError, is_store_reader};
 use crate::membership::MembershipMessage;
 
-/// Time between two looks while no rollout goes on.
+/// Interval between two steps while no rollout is running.
 const IDLE_INTERVAL: Duration = Duration::from_millis(500);
-/// Time between two reports and two decisions while one does: short against the half second in which a bad release has to be
-/// found, long against the time in which a report arrives.
+/// Interval between two reports and two decisions while a rollout is running: short compared with the half
+/// second within which a bad release has to be found, and long compared with the delivery time of a report.
 const BUSY_INTERVAL: Duration = Duration::from_millis(200);
-/// Time between two readings of the store while no rollout goes on. New back ends need more than a second to start.
+/// Interval between two reads of the store while no rollout is running. New back ends take more than a second
+/// to start.
 const LIST_INTERVAL: Duration = Duration::from_millis(1_500);
-/// The same while one does, to see an order that is taken back.
+/// The same interval while a rollout is running, to detect that it was cancelled.
 const BUSY_LIST_INTERVAL: Duration = Duration::from_millis(1_000);
-/// Pause after a call to the store that failed.
+/// Pause after a failed call to the store.
 const FAILURE_PAUSE: Duration = Duration::from_millis(400);
-/// Longest time that the membership takes to answer.
-const ACTOR_TIME: Duration = Duration::from_millis(500);
+/// Timeout for the reply of the membership actor.
+const ACTOR_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// What the membership knows of rollouts.
+/// The rollout plans and endpoints that the membership knows.
 #[derive(Debug)]
 pub(crate) struct RolloutView {
-    /// The plans in force.
+    /// The active plans.
     pub(crate) held: HeldPlans,
-    /// Back ends that can be reached.
+    /// The reachable back ends.
     pub(crate) endpoints: BTreeMap<ServiceName, EndpointCounts>,
 }
 
-/// What the task needs.
+/// Arguments of the rollout task.
 pub(crate) struct RolloutTask {
     pub(crate) node: NodeName,
     pub(crate) store: Arc<dyn RolloutStore>,
@@ -54,18 +55,18 @@
     pub(crate) inbound: Arc<Inbound>,
     pub(crate) back_end: Arc<BackEndMonitor>,
     pub(crate) membership: ActorRef<MembershipMessage>,
-    /// Reports of other nodes, and of this one.
+    /// Reports of this node and of other nodes.
     pub(crate) evidence: mpsc::UnboundedReceiver<ReleaseEvidence>,
     pub(crate) telemetry: Telemetry,
 }
 
-/// Takes part in rollouts without end.
+/// Participates in rollouts until the task is aborted.
 pub(crate) async fn run_rollouts(task: RolloutTask) {
     let coordinator = RolloutCoordinator::new(task.settings);
     let mut participant = Participant {
         task,
         coordinator,
-        told: BTreeMap::new(),
+        published: BTreeMap::new(),
         reports: 0,
         list_at: Instant::now(),
         is_coordinator: false,
@@ -79,7 +80,8 @@
     }
 }
 
-/// What has come of a call to the store. Calls run beside the steps: a store that is silent holds up no report and no decision.
+/// Result of a call to the store. Calls run concurrently with the steps, so that an unresponsive store delays
+/// no report and no decision.
 enum StoreOutcome {
     Listed(Result<Vec<StoredRollout>, SourceError>),
     Written {
@@ -94,8 +96,8 @@
 struct Participant {
     task: RolloutTask,
     coordinator: RolloutCoordinator,
-    /// The plans that this node tells as a coordinator.
-    told: BTreeMap<ServiceName, RolloutPlan>,
+    /// The plans that this node publishes as a coordinator.
+    published: BTreeMap<ServiceName, RolloutPlan>,
     reports: u64,
     list_at: Instant,
     is_coordinator: bool,
@@ -106,10 +108,10 @@
 }
 
 impl Participant {
-    /// Takes one step; tells whether a rollout goes on.
+    /// Performs one step; returns whether a rollout is running.
     async fn step(&mut self) -> bool {
-        let asked = self.task.membership.call(MembershipMessage::RolloutView, Some(ACTOR_TIME)).await;
-        let Ok(CallResult::Success(view)) = asked else { return false };
+        let reply = self.task.membership.call(MembershipMessage::RolloutView, Some(ACTOR_TIMEOUT)).await;
+        let Ok(CallResult::Success(view)) = reply else { return false };
         let is_running = view.held.iter().any(|plan| plan.stage.is_running());
         if is_running {
             self.report(&view.held);
@@ -118,7 +120,8 @@
         is_running || !self.coordinator.is_idle()
     }
 
-    /// Reports the answers of the own back end to the coordinators, if a rollout concerns it.
+    /// Reports the response statistics of the local back end to the coordinators, if its service has a
+    /// running rollout.
     fn report(&mut self, held: &HeldPlans) {
         let Some(record) = self.task.back_end.record() else { return };
         let Some(release) = record.release else { return };
@@ -150,7 +153,7 @@
         }
         self.is_coordinator = true;
         for plan in view.held.iter() {
-            self.hold_told(plan);
+            self.add_published(plan);
         }
         while let Ok(evidence) = self.task.evidence.try_recv() {
             self.coordinator.on_evidence(evidence);
@@ -165,8 +168,8 @@
             self.calls.spawn(async move { StoreOutcome::Listed(store.list().await) });
         }
         let actions = self.coordinator.on_tick(now.into_std(), &view.held, &view.endpoints);
-        self.carry_out(actions);
-        self.tell_others();
+        self.apply(actions);
+        self.send_plans();
     }
 
     fn stop_coordinating(&mut self) {
@@ -174,20 +177,21 @@
             return;
         }
         self.coordinator.clear();
-        self.told.clear();
+        self.published.clear();
         self.list_at = Instant::now();
         while self.task.evidence.try_recv().is_ok() {}
         self.calls.abort_all();
         self.calls = JoinSet::new();
         self.is_listing = false;
         self.writing.clear();
-        self.tell_others();
+        self.send_plans();
     }
 
-    /// Tells a plan on that somebody else has made, so that nodes which join hear of it.
-    fn hold_told(&mut self, plan: &RolloutPlan) {
-        if self.told.get(&plan.service).is_none_or(|told| plan.supersedes(told)) {
-            self.told.insert(plan.service.clone(), plan.clone());
+    /// Publishes a plan unless a newer one is published already. Plans of other coordinators are included, so
+    /// that joining nodes receive them.
+    fn add_published(&mut self, plan: &RolloutPlan) {
+        if self.published.get(&plan.service).is_none_or(|published| plan.supersedes(published)) {
+            self.published.insert(plan.service.clone(), plan.clone());
         }
     }
 
@@ -213,7 +217,7 @@
                 let actions = self.coordinator.on_stored(now.into_std(), held, stored);
                 let interval = if self.coordinator.is_idle() { LIST_INTERVAL } else { BUSY_LIST_INTERVAL };
                 self.list_at = now + interval;
-                self.carry_out(actions);
+                self.apply(actions);
             }
             Err(error) => {
                 self.list_at = now + FAILURE_PAUSE;
@@ -246,18 +250,18 @@
         if let Ok(revision) = written {
             self.coordinator.on_written(&service, state, revision);
         }
-        // What stands there now, an end by this node included, is read with the next step.
+        // The next step reads the current state from the store, also after this node has ended the rollout.
         if written.is_err() || state.is_final() {
             self.list_at = Instant::now();
         }
     }
 
-    fn carry_out(&mut self, actions: Vec<CoordinatorAction>) {
+    fn apply(&mut self, actions: Vec<CoordinatorAction>) {
         for action in actions {
             match action {
                 CoordinatorAction::Tell { plan, reason, verdict, answers } => {
-                    self.tell_decision(&plan, reason, verdict, answers);
-                    self.hold_told(&plan);
+                    self.emit_decision(&plan, reason, verdict, answers);
+                    self.add_published(&plan);
                 }
                 CoordinatorAction::Write { service, target, revision, state } => {
                     self.write(service, target, revision, state);
@@ -277,12 +281,12 @@
         });
     }
 
-    fn tell_others(&self) {
-        let plans = self.told.values().cloned().collect();
+    fn send_plans(&self) {
+        let plans = self.published.values().cloned().collect();
         let _ = self.task.membership.send_message(MembershipMessage::Rollouts(plans));
     }
 
-    fn tell_decision(&self, plan: &RolloutPlan, reason: &'static str, verdict: Verdict, answers: u32) {
+    fn emit_decision(&self, plan: &RolloutPlan, reason: &'static str, verdict: Verdict, answers: u32) {
         let (bad, target_millis, others_millis) = match verdict {
             Verdict::Sound => (0, 0, 0),
             Verdict::Fails { bad, .. } => (bad, 0, 0),
--- a/crates/daemon/src/settings/duration.rs
+++ b/crates/daemon/src/settings/duration.rs
@@ -1,18 +1,19 @@
-//! Durations in settings: a number with a unit, such as `250ms`, `10s` or `2m`.
+//! Parser for durations in settings: a number with a unit, such as `250ms`, `10s` or `2m`.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// A text that is no duration.
+/// A text that is not a valid duration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a duration is a number followed by `ms`, `s` or `m`")]
 pub struct InvalidDuration;
 
-/// Reads a duration.
+/// Parses a duration.
 ///
 /// # Errors
-/// Returns [`InvalidDuration`] for anything but a number and one of the units, or one too large.
+/// Returns [`InvalidDuration`] if `text` isn't a number followed by one of the units, or the duration is too
+/// large.
 pub fn parse_duration(text: &str) -> Result<Duration, InvalidDuration> {
     let is_of_number = |character: char| character.is_ascii_digit() || character == '.';
     let digits = text.len() - text.trim_start_matches(is_of_number).len();
--- a/crates/daemon/src/settings/fault.rs
+++ b/crates/daemon/src/settings/fault.rs
@@ -1,4 +1,4 @@
-//! Everything that is wrong with a node's settings, in one report.
+//! Faults in the settings of a node, collected in one report.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -13,7 +13,7 @@
 
 use super::InvalidDuration;
 
-/// What is wrong with one setting.
+/// A fault in one setting.
 #[derive(Debug, Error)]
 #[allow(missing_docs, reason = "each variant's message says what its fields are")]
 pub enum FaultKind {
@@ -21,9 +21,9 @@
     UnreadableFile { reason: std::io::ErrorKind },
     #[error("the settings file is not UTF-8 text; byte {offset} is the first that is not")]
     NotText { offset: usize },
-    #[error("the settings file is not TOML: {message}")]
+    #[error("the settings file is not valid TOML: {message}")]
     Syntax { message: String },
-    #[error("there is no setting `{key}`")]
+    #[error("unknown setting `{key}`")]
     UnknownKey { key: String, nearest: Option<&'static str> },
     #[error("the setting `{key}` is missing")]
     Missing { key: &'static str },
@@ -31,36 +31,36 @@
     WrongType { key: &'static str, expected: &'static str, found: &'static str },
     #[error(transparent)]
     Name(#[from] InvalidName),
-    #[error("`{value}` in `{key}` is no address")]
+    #[error("`{value}` in `{key}` is not a valid address")]
     Address { key: &'static str, value: String },
-    #[error("`{value}` in `{key}` is no duration")]
+    #[error("`{value}` in `{key}` is not a valid duration")]
     Duration { key: &'static str, value: String, source: InvalidDuration },
     #[error("`{value}` in `{key}` is not one of {allowed}")]
     Choice { key: &'static str, value: String, allowed: &'static str },
-    #[error("`{key}` is {value}; it must lie between {least} and {greatest}")]
-    OutOfRange { key: &'static str, value: String, least: u64, greatest: u64 },
-    #[error("the region `{region}` is not one of the known localities")]
+    #[error("`{key}` is {value}, but must be between {min} and {max}")]
+    OutOfRange { key: &'static str, value: String, min: u64, max: u64 },
+    #[error("the region `{region}` has no zone in `[zones]`")]
     UnknownRegion { region: RegionName },
     #[error("the region `{region}` has no zone `{zone}`")]
     UnknownZone { region: RegionName, zone: ZoneName, known: String },
-    #[error("`{first}` and `{second}` both take the address {address}")]
+    #[error("`{first}` and `{second}` both use the address {address}")]
     SameAddress { first: &'static str, second: &'static str, address: SocketAddr },
-    #[error("`{key}` names an address that other nodes can't connect to: {address}")]
+    #[error("other nodes can't connect to the address in `{key}`: {address}")]
     NotReachable { key: &'static str, address: SocketAddr },
     #[error("the file `{}` named by `{key}` can't be read: {reason}", path.display())]
     MissingFile { key: &'static str, path: PathBuf, reason: std::io::ErrorKind },
-    #[error("the file `{}` named by `{key}` holds no seal key", path.display())]
+    #[error("the file `{}` named by `{key}` contains no valid seal key", path.display())]
     SealKeyFile { key: &'static str, path: PathBuf, source: InvalidSealKey },
-    #[error("`{key}` makes no sense at an edge, which has no back end")]
+    #[error("`{key}` is not allowed at an edge, which has no back end")]
     NotAtEdge { key: &'static str },
 }
 
 impl FaultKind {
-    /// How to mend it.
+    /// A suggestion how to correct the setting.
     #[must_use]
-    pub fn mend(&self) -> String {
+    pub fn suggestion(&self) -> String {
         match self {
-            Self::UnreadableFile { .. } => "name a file that exists and that this user may read".to_owned(),
+            Self::UnreadableFile { .. } => "specify an existing file that this user may read".to_owned(),
             Self::NotText { .. } | Self::Syntax { .. } => {
                 "start from examples/node.toml, which explains every setting".to_owned()
             }
@@ -68,23 +68,25 @@
             Self::UnknownKey { nearest: None, .. } => {
                 "remove it; examples/node.toml lists all settings".to_owned()
             }
-            Self::Missing { key } => format!("add `{key}` to the settings file, or give its flag"),
-            Self::WrongType { expected, .. } => format!("write {expected}"),
+            Self::Missing { key } => format!("add `{key}` to the settings file, or pass its flag"),
+            Self::WrongType { expected, .. } => format!("use {expected}"),
             Self::Name(_) => "use a-z, 0-9, `-` and `.`, at most 63 characters".to_owned(),
-            Self::Address { .. } => "write an IP number and a port, such as `10.0.0.7:7101`".to_owned(),
-            Self::Duration { .. } => "write for example `500ms`, `30s` or `2m`".to_owned(),
+            Self::Address { .. } => "use an IP address and a port, such as `10.0.0.7:7101`".to_owned(),
+            Self::Duration { .. } => "use for example `500ms`, `30s` or `2m`".to_owned(),
             Self::Choice { allowed, .. } => format!("use one of {allowed}"),
-            Self::OutOfRange { least, greatest, .. } => format!("use a number from {least} to {greatest}"),
+            Self::OutOfRange { min, max, .. } => format!("use a number from {min} to {max}"),
             Self::UnknownRegion { .. } => "add a zone of the region to `[zones]`".to_owned(),
             Self::UnknownZone { known, .. } => {
                 format!("use one of {known}, or add the zone to `[zones]`")
             }
-            Self::SameAddress { second, .. } => format!("give `{second}` a port of its own"),
+            Self::SameAddress { second, .. } => format!("use a different port for `{second}`"),
             Self::NotReachable { key, .. } => {
                 format!("set `{}` to the address of this machine", advertised_key(key))
             }
-            Self::MissingFile { .. } => "relative paths start at the settings file's directory".to_owned(),
-            Self::SealKeyFile { .. } => "make one by `umberpond keygen`".to_owned(),
+            Self::MissingFile { .. } => {
+                "relative paths are resolved from the settings file's directory".to_owned()
+            }
+            Self::SealKeyFile { .. } => "create one with `umberpond keygen`".to_owned(),
             Self::NotAtEdge { key } => format!("remove `{key}`, or set `node.edge` to false"),
         }
     }
@@ -94,18 +96,18 @@
     if key == "listen.inbound" { "advertise.inbound" } else { "advertise.control" }
 }
 
-/// Where a setting came from.
+/// Origin of a setting.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Origin {
-    /// Bytes of the settings file.
+    /// Byte range in the settings file.
     File(Range<usize>),
-    /// A flag.
+    /// A command line flag.
     Flag(&'static str),
-    /// Nowhere: it is missing, or concerns the whole file.
+    /// No origin: the setting is missing, or the fault concerns the whole file.
     Nowhere,
 }
 
-/// One fault with its place.
+/// One fault with its location.
 #[derive(Debug)]
 pub struct SettingsFault {
     kind: FaultKind,
@@ -122,13 +124,13 @@
         Self { kind, origin, source }
     }
 
-    /// What is wrong.
+    /// The kind of the fault.
     #[must_use]
     pub const fn kind(&self) -> &FaultKind {
         &self.kind
     }
 
-    /// Line of the settings file, counted from 1, if the fault lies in one.
+    /// Line number in the settings file, starting at 1; absent if the fault has no line.
     #[must_use]
     pub fn line(&self) -> Option<usize> {
         let Origin::File(range) = &self.origin else { return None };
@@ -160,7 +162,7 @@
     }
 
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.kind.mend()))
+        Some(Box::new(self.kind.suggestion()))
     }
 
     fn source_code(&self) -> Option<&dyn SourceCode> {
@@ -180,7 +182,7 @@
 #[error("the settings have {} fault{}; nothing was started", faults.len(), if faults.len() == 1 { "" } else { "s" })]
 #[diagnostic(code("umberpond::settings"))]
 pub struct SettingsReport {
-    /// The faults, in the order of the file.
+    /// The faults, ordered by line.
     #[related]
     pub faults: Vec<SettingsFault>,
 }
--- a/crates/daemon/src/settings/load.rs
+++ b/crates/daemon/src/settings/load.rs
@@ -1,4 +1,4 @@
-//! Loads the settings: file, then flags, then every check.
+//! Loads the settings from the file and the flags, and checks them.
 
 use std::path::{Path, PathBuf};
 use std::sync::Arc;
@@ -27,16 +27,17 @@
     ("error", Severity::Error),
 ];
 
-const GREATEST_FAILURES: u32 = 1_000;
-const GREATEST_RATIO: u64 = 10;
-const GREATEST_EXTRA: u64 = 1_000_000;
-const GREATEST_MEGABITS: u64 = 1_000_000;
+const MAX_FAILURES: u32 = 1_000;
+const MAX_RATIO: u64 = 10;
+const MAX_EXTRA: u64 = 1_000_000;
+const MAX_MEGABITS: u64 = 1_000_000;
 const BYTES_PER_MEGABIT: f64 = 125_000.0;
 
-/// Reads the settings file, if any, and the flags, which win. Checks everything and starts nothing.
+/// Reads the settings file, if any, and the flags, which take precedence. Checks all settings and starts
+/// nothing.
 ///
 /// # Errors
-/// Returns every fault found, in one report.
+/// Returns all faults in one report.
 pub fn load(file: Option<&Path>, overrides: &[SettingsOverride]) -> Result<NodeConfig, SettingsReport> {
     let text = match file {
         Some(path) => read_text(path)?,
@@ -56,7 +57,7 @@
     let config = read_config(&mut reader, &directory);
     reader.check_unknown_keys();
     match config {
-        Some(config) if reader.is_clean() => Ok(config),
+        Some(config) if reader.has_no_faults() => Ok(config),
         _ => Err(reader.into_report()),
     }
 }
@@ -73,11 +74,11 @@
     Err(SettingsReport { faults: vec![SettingsFault::new(kind, Origin::File(0..0), Some(source))] })
 }
 
-/// Reads everything, so that every fault is noted, before it puts anything together.
+/// Reads all settings before it builds the configuration, so that all faults are reported.
 fn read_config(reader: &mut SettingsReader<'_>, directory: &Path) -> Option<NodeConfig> {
     let node = reader.name("node.name");
     let service = reader.name("node.service");
-    let is_first_start = reader.switch("node.first-start").is_some_and(|first| first.value);
+    let is_first_start = reader.boolean("node.first-start").is_some_and(|first| first.value);
     let locality = read_locality(reader);
     let listen = read_listen(reader);
     let back_end = read_back_end(reader);
@@ -86,9 +87,9 @@
     let link_rate = read_link_rate(reader);
     let retry_budget = read_retry_budget(reader);
     let rollouts = read_rollouts(reader);
-    let follows_evacuations = reader.switch("evacuations.follow").is_some_and(|follow| follow.value);
-    let keeps_slots_for_calls = reader.switch("calls.keep-slots").is_some_and(|keep| keep.value);
-    let chooses_by_speed = reader.switch("selection.by-speed").is_some_and(|by_speed| by_speed.value);
+    let follows_evacuations = reader.boolean("evacuations.follow").is_some_and(|follow| follow.value);
+    let keeps_slots_for_calls = reader.boolean("calls.keep-slots").is_some_and(|keep| keep.value);
+    let chooses_by_speed = reader.boolean("selection.by-speed").is_some_and(|by_speed| by_speed.value);
     let log = read_log(reader);
     let grace = reader.duration("stop.grace", DEFAULT_GRACE);
     let (locality, topology) = locality?;
@@ -159,31 +160,32 @@
     Some((listen, advertise))
 }
 
-/// The back end, which may be absent; `None` if its settings have a fault.
+/// Reads the optional back end; `None` if its settings have a fault.
 fn read_back_end(reader: &mut SettingsReader<'_>) -> Option<Option<BackEndConfig>> {
     let address = reader.address("back-end.address");
     let check_interval = reader.duration("back-end.check-interval", DEFAULT_CHECK_INTERVAL);
     let failures =
-        reader.count("back-end.failures-to-unready", 1, GREATEST_FAILURES, DEFAULT_FAILURES_TO_UNREADY);
+        reader.integer_between("back-end.failures-to-unready", 1, MAX_FAILURES, DEFAULT_FAILURES_TO_UNREADY);
     let (check_interval, failures_to_unready) = (check_interval?, failures?);
     Some(address.map(|address| BackEndConfig { address: address.value, check_interval, failures_to_unready }))
 }
 
-/// Bytes a second of the node's link, which may be unknown; `None` if the setting has a fault.
+/// Reads the optional rate of the node's link in bytes per second; `None` if the setting has a fault.
 fn read_link_rate(reader: &mut SettingsReader<'_>) -> Option<Option<f64>> {
-    let megabits = reader.decimal("link.megabits-per-second", 0, GREATEST_MEGABITS, 0.0)?;
+    let megabits = reader.decimal("link.megabits-per-second", 0, MAX_MEGABITS, 0.0)?;
     Some((megabits > 0.0).then_some(megabits * BYTES_PER_MEGABIT))
 }
 
 fn read_retry_budget(reader: &mut SettingsReader<'_>) -> Option<RetryBudgetSettings> {
     let default = RetryBudgetSettings::default();
-    let ratio = reader.decimal("retries.ratio", 0, GREATEST_RATIO, default.ratio);
-    let extra = reader.decimal("retries.extra", 0, GREATEST_EXTRA, default.extra);
+    let ratio = reader.decimal("retries.ratio", 0, MAX_RATIO, default.ratio);
+    let extra = reader.decimal("retries.extra", 0, MAX_EXTRA, default.extra);
     let window = reader.duration("retries.window", default.window);
     Some(RetryBudgetSettings { ratio: ratio?, extra: extra?, window: window? })
 }
 
-/// Bounds of rollouts, in which the node may take no part; `None` if a setting has a fault.
+/// Reads the optional rollout settings, absent if the node participates in none; `None` if a setting has a
+/// fault.
 fn read_rollouts(reader: &mut SettingsReader<'_>) -> Option<Option<RolloutSettings>> {
     let canary_share = reader.decimal("rollouts.canary-share", 0, 1, 0.0)?;
     Some((canary_share > 0.0).then_some(RolloutSettings { canary_share }))
--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -1,4 +1,4 @@
-//! Settings of one node: a TOML file and flags, checked whole before anything starts.
+//! Settings of one node from a TOML file and flags. All settings are checked before anything starts.
 
 mod duration;
 mod fault;
@@ -22,84 +22,85 @@
 pub use load::load;
 pub use override_flag::SettingsOverride;
 
-/// Settings of one node, checked. Built by [`load`], or directly by a simulation.
+/// Checked settings of one node. Built by [`load`], or directly by a simulation.
 #[derive(Debug, Clone)]
 pub struct NodeConfig {
     /// Name of the node.
     pub node: NodeName,
     /// Service on whose behalf local callers send requests: that of the back end beside the node.
     pub service: ServiceName,
-    /// Whether the whole system starts for the first time, so that no earlier process of this node left anything.
+    /// Whether the whole system starts for the first time, so that there was no earlier process of this node.
     pub is_first_start: bool,
     /// Where the node runs.
     pub locality: Locality,
-    /// Regions and zones that exist.
+    /// All regions and zones.
     pub topology: Topology,
-    /// Where the node listens.
+    /// Addresses at which the node listens.
     pub listen: ListenAddresses,
-    /// Addresses under which other nodes reach this one, where they differ from those listened at.
+    /// Addresses at which other nodes reach this one, if they differ from the listening addresses.
     pub advertise: AdvertisedAddresses,
-    /// The back end beside this node; absent where callers enter and no back end stands.
+    /// The back end beside this node; absent at an edge, which only serves callers.
     pub back_end: Option<BackEndConfig>,
     /// Address of the store.
     pub store: SocketAddr,
-    /// Key that opens the secrets of `service`; absent if it may hold none.
+    /// Key that decrypts the secrets of `service`; absent if the node has none.
     pub seal_key: Option<Arc<SealKeyPair>>,
-    /// Bytes a second that the node's link bears; absent if that is not known.
+    /// Capacity of the node's link in bytes per second; absent if unknown.
     pub link_rate: Option<f64>,
     /// The retry budget of each service, over all nodes together.
     pub retry_budget: RetryBudgetSettings,
-    /// Bounds of rollouts; absent if the node takes part in none.
+    /// Settings of rollouts; absent if the node participates in none.
     pub rollouts: Option<RolloutSettings>,
-    /// Whether operators may evacuate zones, so that those that read the store have to look for it.
+    /// Whether operators may evacuate zones, so that store readers have to read the evacuations.
     pub follows_evacuations: bool,
-    /// Whether new requests leave slots of the back end to calls of runs at other back ends.
+    /// Whether slots of the back end are reserved for calls of runs at other back ends.
     pub keeps_slots_for_calls: bool,
-    /// Whether back ends differ much in speed, so that faster ones are chosen more often while slots are free.
+    /// Whether back ends differ much in speed, so that faster ones are chosen more often while slots are
+    /// free.
     pub chooses_by_speed: bool,
     /// Log output.
     pub log: LogConfig,
-    /// Time from the request to stop until the process is killed.
+    /// Time between the stop request and the kill of the process.
     pub grace: Duration,
 }
 
-/// Where a node listens. Port 0 takes any free port.
+/// Addresses at which a node listens. Port 0 selects any free port.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ListenAddresses {
-    /// Requests of other nodes for the back end.
+    /// Address for requests of other nodes to the back end.
     pub inbound: SocketAddr,
-    /// Requests of local callers.
+    /// Address for requests of local callers.
     pub outbound: SocketAddr,
-    /// Operators, metrics and readiness.
+    /// Address for operator requests, metrics and readiness.
     pub admin: SocketAddr,
-    /// Datagrams and control connections of other nodes.
+    /// Address for datagrams and control connections of other nodes.
     pub control: SocketAddr,
-    /// Announcements of the back end beside this node; absent if it makes none.
+    /// Address for announcements of the back end beside this node; absent if it sends none.
     pub registration: Option<SocketAddr>,
 }
 
-/// Addresses told to other nodes; the ones listened at if absent.
+/// Addresses published to other nodes; the listening addresses if absent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct AdvertisedAddresses {
-    /// Of the inbound listener.
+    /// Address of the inbound listener.
     pub inbound: Option<SocketAddr>,
-    /// Of the control listener.
+    /// Address of the control listener.
     pub control: Option<SocketAddr>,
 }
 
 /// The back end beside a node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackEndConfig {
-    /// Where it listens.
+    /// Address at which the back end listens.
     pub address: SocketAddr,
-    /// Time between two questions whether it is well, if it does not announce itself.
+    /// Time between two health checks, if the back end sends no announcements.
     pub check_interval: Duration,
-    /// Questions in a row without a good answer after which it gets no new work.
+    /// Consecutive failed health checks after which the back end gets no new requests.
     pub failures_to_unready: u32,
 }
 
 impl BackEndConfig {
-    /// A back end at `address`, with the usual times.
+    /// A back end at `address` with the default health check settings.
     #[must_use]
     pub const fn at(address: SocketAddr) -> Self {
         Self {
@@ -113,9 +114,9 @@
 /// Log output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LogConfig {
-    /// Form of the lines.
+    /// Format of the log lines.
     pub format: LogFormat,
-    /// Events below this severity are left out.
+    /// Minimum severity of logged events.
     pub level: Severity,
 }
 
@@ -125,11 +126,11 @@
     }
 }
 
-/// Time from the request to stop until the process is killed, unless the settings say otherwise.
+/// Default time between the stop request and the kill of the process.
 pub const DEFAULT_GRACE: Duration = Duration::from_secs(30);
 
-/// Time between two questions to the back end, unless the settings say otherwise.
+/// Default time between two health checks of the back end.
 pub const DEFAULT_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// Questions in a row without a good answer that make a back end unready, unless the settings say otherwise.
+/// Default number of consecutive failed health checks that make a back end unready.
 pub const DEFAULT_FAILURES_TO_UNREADY: u32 = 3;
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -1,4 +1,5 @@
-//! Reads single settings from the file and the flags, and collects every fault instead of stopping at the first.
+//! Reads individual settings from the file and the flags, and collects all faults instead of stopping at the
+//! first.
 
 use std::net::SocketAddr;
 use std::str::FromStr;
@@ -13,14 +14,14 @@
 use super::fault::{FaultKind, Origin, SettingsFault};
 use super::{SettingsOverride, SettingsReport, parse_duration};
 
-/// A value and where it came from.
+/// A value and its origin.
 #[derive(Debug, Clone)]
 pub(super) struct Located<T> {
     pub(super) value: T,
     pub(super) origin: Origin,
 }
 
-/// Reader over one settings file and the flags.
+/// Reads settings from one settings file and the flags.
 pub(super) struct SettingsReader<'a> {
     document: &'a DeTable<'a>,
     source: Option<Arc<NamedSource<String>>>,
@@ -38,23 +39,23 @@
         Self { document, source, overrides, known: Vec::new(), faults: Vec::new() }
     }
 
-    /// Notes a fault.
+    /// Records a fault.
     pub(super) fn fault(&mut self, kind: FaultKind, origin: Origin) {
         self.faults.push(SettingsFault::new(kind, origin, self.source.clone()));
     }
 
-    /// Whether no fault was found so far.
-    pub(super) fn is_clean(&self) -> bool {
+    /// Whether no fault has been recorded so far.
+    pub(super) fn has_no_faults(&self) -> bool {
         self.faults.is_empty()
     }
 
-    /// All faults, in the order of their lines.
+    /// All faults, ordered by line.
     pub(super) fn into_report(mut self) -> SettingsReport {
         self.faults.sort_by_key(SettingsFault::line);
         SettingsReport { faults: self.faults }
     }
 
-    /// The entry under `key` in the file, without looking at flags.
+    /// The entry for `key` in the file, regardless of flags.
     pub(super) fn entry(&mut self, key: &'static str) -> Option<&'a Spanned<DeValue<'a>>> {
         self.known.push(key);
         let document: &'a DeTable<'a> = self.document;
@@ -62,14 +63,14 @@
     }
 
     fn flag(&self, key: &str) -> Option<&'a SettingsOverride> {
-        self.overrides.iter().rev().find(|given| given.key == key)
+        self.overrides.iter().rev().find(|setting| setting.key == key)
     }
 
-    /// A text.
+    /// Reads a text; `None` if it is absent or has the wrong type.
     pub(super) fn text(&mut self, key: &'static str) -> Option<Located<String>> {
         let entry = self.entry(key);
-        if let Some(given) = self.flag(key) {
-            return Some(Located { value: given.value.clone(), origin: Origin::Flag(given.flag) });
+        if let Some(setting) = self.flag(key) {
+            return Some(Located { value: setting.value.clone(), origin: Origin::Flag(setting.flag) });
         }
         let entry = entry?;
         match entry.get_ref() {
@@ -80,11 +81,11 @@
         }
     }
 
-    /// A yes or no.
-    pub(super) fn switch(&mut self, key: &'static str) -> Option<Located<bool>> {
+    /// Reads a boolean; `None` if it is absent or has the wrong type.
+    pub(super) fn boolean(&mut self, key: &'static str) -> Option<Located<bool>> {
         let entry = self.entry(key);
-        if let Some(given) = self.flag(key) {
-            return Some(Located { value: given.value == "true", origin: Origin::Flag(given.flag) });
+        if let Some(setting) = self.flag(key) {
+            return Some(Located { value: setting.value == "true", origin: Origin::Flag(setting.flag) });
         }
         let entry = entry?;
         match entry.get_ref() {
@@ -93,12 +94,12 @@
         }
     }
 
-    /// A whole number between `least` and `greatest`; `default` if it is absent.
-    pub(super) fn count(
+    /// Reads an integer between `min` and `max`; `default` if it is absent.
+    pub(super) fn integer_between(
         &mut self,
         key: &'static str,
-        least: u32,
-        greatest: u32,
+        min: u32,
+        max: u32,
         default: u32,
     ) -> Option<u32> {
         let Some(entry) = self.entry(key) else { return Some(default) };
@@ -106,39 +107,33 @@
             return self.wrong_type(key, "a whole number", entry.get_ref(), entry);
         };
         let text = integer.to_string();
-        let value = text.parse().ok().filter(|value| (least..=greatest).contains(value));
+        let value = text.parse().ok().filter(|value| (min..=max).contains(value));
         if value.is_none() {
             let origin = Origin::File(entry.span());
-            let (least, greatest) = (u64::from(least), u64::from(greatest));
-            self.fault(FaultKind::OutOfRange { key, value: text, least, greatest }, origin);
+            let (min, max) = (u64::from(min), u64::from(max));
+            self.fault(FaultKind::OutOfRange { key, value: text, min, max }, origin);
         }
         value
     }
 
-    /// A number between `least` and `greatest`; `default` if it is absent.
-    pub(super) fn decimal(
-        &mut self,
-        key: &'static str,
-        least: u64,
-        greatest: u64,
-        default: f64,
-    ) -> Option<f64> {
+    /// Reads a number between `min` and `max`; `default` if it is absent.
+    pub(super) fn decimal(&mut self, key: &'static str, min: u64, max: u64, default: f64) -> Option<f64> {
         let Some(entry) = self.entry(key) else { return Some(default) };
         let text = match entry.get_ref() {
             DeValue::Integer(integer) => integer.to_string(),
             DeValue::Float(float) => float.to_string(),
             other => return self.wrong_type(key, "a number", other, entry),
         };
-        let range = f64_of(least)..=f64_of(greatest);
+        let range = to_f64(min)..=to_f64(max);
         let value = text.parse().ok().filter(|value| range.contains(value));
         if value.is_none() {
             let origin = Origin::File(entry.span());
-            self.fault(FaultKind::OutOfRange { key, value: text, least, greatest }, origin);
+            self.fault(FaultKind::OutOfRange { key, value: text, min, max }, origin);
         }
         value
     }
 
-    /// A name.
+    /// Reads a required name.
     pub(super) fn name<N: FromStr<Err = InvalidName>>(&mut self, key: &'static str) -> Option<Located<N>> {
         let text = self.required_text(key)?;
         match text.value.parse() {
@@ -150,13 +145,13 @@
         }
     }
 
-    /// An address; `None` without a fault if it is absent.
+    /// Reads an address; `None` without a fault if it is absent.
     pub(super) fn address(&mut self, key: &'static str) -> Option<Located<SocketAddr>> {
         let text = self.text(key)?;
         self.parse_address(key, &text.value, text.origin)
     }
 
-    /// An address that must be there.
+    /// Reads a required address.
     pub(super) fn required_address(&mut self, key: &'static str) -> Option<Located<SocketAddr>> {
         let text = self.required_text(key)?;
         self.parse_address(key, &text.value, text.origin)
@@ -175,7 +170,7 @@
         None
     }
 
-    /// A duration; `default` if it is absent.
+    /// Reads a duration; `default` if it is absent.
     pub(super) fn duration(&mut self, key: &'static str, default: Duration) -> Option<Duration> {
         let Some(text) = self.text(key) else { return Some(default) };
         match parse_duration(&text.value) {
@@ -187,7 +182,7 @@
         }
     }
 
-    /// One of a few words; `default` if it is absent.
+    /// Reads one of a fixed set of choices; `default` if it is absent.
     pub(super) fn choice<T: Copy>(
         &mut self,
         key: &'static str,
@@ -212,7 +207,7 @@
         self.text(key)
     }
 
-    /// Notes a value of the wrong type.
+    /// Records a value of the wrong type.
     pub(super) fn wrong_type<T>(
         &mut self,
         key: &'static str,
@@ -225,7 +220,7 @@
         None
     }
 
-    /// Notes every key of the file that nothing has asked for.
+    /// Records every key of the file that no setting was read from.
     pub(super) fn check_unknown_keys(&mut self) {
         let document: &'a DeTable<'a> = self.document;
         let mut unknown = Vec::new();
@@ -237,7 +232,7 @@
     }
 }
 
-fn f64_of(limit: u64) -> f64 {
+fn to_f64(limit: u64) -> f64 {
     f64::from(u32::try_from(limit).unwrap_or(u32::MAX))
 }
 
@@ -269,7 +264,7 @@
     }
 }
 
-/// Most single-character edits between an unknown key and the one suggested for it.
+/// Maximum edit distance between an unknown key and the key suggested for it.
 const SUGGESTION_DISTANCE: usize = 4;
 
 fn nearest_key(key: &str, known: &[&'static str]) -> Option<&'static str> {
@@ -277,7 +272,7 @@
     (distance <= SUGGESTION_DISTANCE).then_some(nearest)
 }
 
-/// Levenshtein distance of two short texts.
+/// Levenshtein distance between two short texts.
 fn edit_distance(left: &str, right: &str) -> usize {
     let right: Vec<char> = right.chars().collect();
     let mut row: Vec<usize> = (0..=right.len()).collect();
--- a/crates/daemon/src/settings/rules.rs
+++ b/crates/daemon/src/settings/rules.rs
@@ -1,4 +1,4 @@
-//! Rules that concern more than one setting.
+//! Rules that involve more than one setting.
 
 use std::net::SocketAddr;
 
@@ -12,7 +12,7 @@
 
 const ZONES: &str = "zones";
 
-/// Reads `[zones]`: every zone and the region in which it lies.
+/// Reads `[zones]`, which maps each zone to its region.
 pub(super) fn read_zones(reader: &mut SettingsReader<'_>) -> Option<Topology> {
     let Some(entry) = reader.entry(ZONES) else {
         reader.fault(FaultKind::Missing { key: ZONES }, Origin::Nowhere);
@@ -23,7 +23,7 @@
     };
     let mut topology = Topology::new();
     for (key, region) in table.iter() {
-        let zone = checked(reader, ZoneName::new(key.get_ref()), Origin::File(key.span()));
+        let zone = check_name(reader, ZoneName::new(key.get_ref()), Origin::File(key.span()));
         let region = read_region(reader, region);
         if let (Some(zone), Some(region)) = (zone, region) {
             topology.entry(region).or_default().insert(zone);
@@ -34,12 +34,12 @@
 
 fn read_region(reader: &mut SettingsReader<'_>, entry: &Spanned<DeValue<'_>>) -> Option<RegionName> {
     match entry.get_ref() {
-        DeValue::String(text) => checked(reader, RegionName::new(text), Origin::File(entry.span())),
+        DeValue::String(text) => check_name(reader, RegionName::new(text), Origin::File(entry.span())),
         other => reader.wrong_type(ZONES, "the name of a region", other, entry),
     }
 }
 
-fn checked<N>(reader: &mut SettingsReader<'_>, name: Result<N, InvalidName>, origin: Origin) -> Option<N> {
+fn check_name<N>(reader: &mut SettingsReader<'_>, name: Result<N, InvalidName>, origin: Origin) -> Option<N> {
     match name {
         Ok(name) => Some(name),
         Err(invalid) => {
@@ -49,7 +49,7 @@
     }
 }
 
-/// The node's locality must be a known one.
+/// Checks that the node's locality is a known one.
 pub(super) fn check_locality(
     reader: &mut SettingsReader<'_>,
     region: Located<RegionName>,
@@ -69,18 +69,18 @@
     Some(Locality { region: region.value, zone: zone.value })
 }
 
-/// A listening address under the name of its setting.
+/// A listening address with the key of its setting.
 pub(super) struct NamedAddress {
     pub(super) key: &'static str,
     pub(super) address: Located<SocketAddr>,
 }
 
-/// No two listeners may share an address; port 0 takes any free port and clashes with nothing.
+/// Checks that no two listeners share an address. Port 0 selects any free port and conflicts with nothing.
 pub(super) fn check_distinct(reader: &mut SettingsReader<'_>, listeners: &[NamedAddress]) {
     for (index, second) in listeners.iter().enumerate() {
-        let clash =
-            listeners[..index].iter().find(|first| clashes(first.address.value, second.address.value));
-        if let Some(first) = clash {
+        let conflicting =
+            listeners[..index].iter().find(|first| conflicts(first.address.value, second.address.value));
+        if let Some(first) = conflicting {
             let kind = FaultKind::SameAddress {
                 first: first.key,
                 second: second.key,
@@ -91,12 +91,12 @@
     }
 }
 
-fn clashes(first: SocketAddr, second: SocketAddr) -> bool {
+fn conflicts(first: SocketAddr, second: SocketAddr) -> bool {
     let same_host = first.ip() == second.ip() || first.ip().is_unspecified() || second.ip().is_unspecified();
     first.port() != 0 && first.port() == second.port() && same_host
 }
 
-/// An address that other nodes are told must name one machine.
+/// Checks that an address published to other nodes identifies one machine.
 pub(super) fn check_reachable(
     reader: &mut SettingsReader<'_>,
     listener: &NamedAddress,
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -1,4 +1,4 @@
-//! Starts a daemon: opens every listener, then the actors and tasks around them.
+//! Starts a daemon: opens the listeners, then starts the actors and tasks.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -33,28 +33,29 @@
 use crate::evacuations::{EvacuationStore, EvacuationTask, follow_evacuations};
 use crate::listeners::Listeners;
 use crate::membership::{MembershipActor, MembershipArguments, MembershipMessage, receive_datagrams};
-use crate::quarantine::{QuarantineStore, QuarantineTask, keep_quarantine, tell_news};
+use crate::quarantine::{QuarantineStore, QuarantineTask, broadcast_findings, sync_quarantine};
 use crate::readiness::Unready;
 use crate::rollouts::{RolloutStore, RolloutTask, run_rollouts};
 use crate::settings::{BackEndConfig, NodeConfig};
 
-/// Time between two looks for connections that were idle too long.
+/// Interval at which connections that exceed the idle timeout are closed.
 const EXPIRY_INTERVAL: Duration = Duration::from_secs(2);
-/// Longest time that an actor takes to answer.
-const ACTOR_TIME: Duration = Duration::from_secs(1);
+/// Timeout for the reply of an actor.
+const ACTOR_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// What differs from platform to platform.
+/// The platform-specific parts of a daemon.
 #[derive(Clone)]
 pub struct Extensions {
-    /// Where configurations come from.
+    /// Source of configurations.
     pub source: Arc<dyn ConfigurationSource>,
-    /// Where nodes find one another.
+    /// Directory for node discovery.
     pub directory: Arc<dyn MemberDirectory>,
-    /// Where orders of rollouts come from; absent if there are none.
+    /// Store of rollouts; absent if the platform has none.
     pub rollouts: Option<Arc<dyn RolloutStore>>,
-    /// Where requests that end back ends are remembered when all processes end; absent if nowhere.
+    /// Store of quarantined requests, which outlasts the processes of all nodes; absent if the platform has
+    /// none.
     pub quarantine: Option<Arc<dyn QuarantineStore>>,
-    /// Where orders to evacuate zones come from; absent if there are none.
+    /// Store of zone evacuations; absent if the platform has none.
     pub evacuations: Option<Arc<dyn EvacuationStore>>,
     /// Names of the header fields.
     pub header_profile: HeaderProfile,
@@ -145,7 +146,7 @@
             configuration,
             back_end,
             control: ServerControl::default(),
-            unready_answers: AtomicU32::new(0),
+            unready_responses: AtomicU32::new(0),
             tasks: Mutex::default(),
         };
         daemon.start_tasks(listeners, reports);
@@ -153,7 +154,7 @@
     }
 }
 
-/// This node's word of itself at the start.
+/// The membership record of this node at the start.
 fn own_record(config: &NodeConfig, environment: &Environment, listeners: &Listeners) -> MemberRecord {
     MemberRecord {
         node: config.node.clone(),
@@ -196,7 +197,7 @@
     )
 }
 
-/// A daemon that runs.
+/// A running daemon.
 pub struct RunningDaemon {
     pub(crate) config: NodeConfig,
     pub(crate) environment: Environment,
@@ -209,8 +210,8 @@
     pub(crate) configuration: ActorRef<ConfigurationMessage>,
     back_end: Arc<BackEndMonitor>,
     pub(crate) control: ServerControl,
-    /// Looks at the readiness since the process was told to stop.
-    pub(crate) unready_answers: AtomicU32,
+    /// Number of readiness requests that got an unready response since the stop request.
+    pub(crate) unready_responses: AtomicU32,
     pub(crate) tasks: Mutex<JoinSet<()>>,
 }
 
@@ -221,13 +222,13 @@
 }
 
 impl RunningDaemon {
-    /// Whether callers may be sent to this node.
+    /// Whether this node is ready for callers.
     ///
     /// # Errors
-    /// Returns the reason if they should not be.
+    /// Returns the reason if it is not ready.
     pub fn readiness(&self) -> Result<(), Unready> {
         if self.control.phase() >= ServerPhase::Leaving {
-            self.unready_answers.fetch_add(1, Ordering::Relaxed);
+            self.unready_responses.fetch_add(1, Ordering::Relaxed);
             return Err(Unready::Stopping);
         }
         if self.control.is_full() {
@@ -239,7 +240,7 @@
         Ok(())
     }
 
-    /// The settings it was started with.
+    /// The settings with which the daemon was started.
     #[must_use]
     pub const fn config(&self) -> &NodeConfig {
         &self.config
@@ -251,24 +252,24 @@
         self.inbound.load()
     }
 
-    /// Figures in the Prometheus text format.
+    /// The metrics in the Prometheus text format.
     #[must_use]
     pub fn metrics(&self) -> String {
         self.environment.telemetry.metrics().encode()
     }
 
-    /// Whether this node is one of those that read the store.
+    /// Whether this node is currently a store reader.
     pub async fn reads_store(&self) -> bool {
         is_store_reader(&self.membership, &ReaderSettings::default()).await
     }
 
-    /// The back end beside this node.
+    /// The monitor of the back end beside this node.
     #[must_use]
     pub const fn back_end(&self) -> &Arc<BackEndMonitor> {
         &self.back_end
     }
 
-    /// What is in force.
+    /// Activation of configurations, which holds the active one.
     #[must_use]
     pub const fn activation(&self) -> &Arc<Activation> {
         &self.activation
@@ -280,17 +281,17 @@
         &self.environment.telemetry
     }
 
-    /// Takes in what may change while the process runs; the rest needs a restart.
+    /// Applies the settings that may change at run time; all others need a restart.
     pub fn reload(&self, config: &NodeConfig) {
         self.outbound.set_caller(config.service.clone());
         let service = config.service.clone();
         self.environment.telemetry.emit(Event::SettingsReloaded { service });
     }
 
-    /// All other nodes as this one sees them; empty if the membership does not answer in time.
+    /// All other nodes that this node knows; empty if the membership actor doesn't reply in time.
     pub async fn members(&self) -> Vec<MemberView> {
-        let asked = self.membership.call(MembershipMessage::Members, Some(ACTOR_TIME)).await;
-        match asked {
+        let reply = self.membership.call(MembershipMessage::Members, Some(ACTOR_TIMEOUT)).await;
+        match reply {
             Ok(ractor::rpc::CallResult::Success(members)) => members,
             _ => Vec::new(),
         }
@@ -324,10 +325,10 @@
             seed: self.environment.seed_for(SeedUse::Store).wrapping_add(1),
             telemetry: telemetry.clone(),
         }));
-        tasks.spawn(ask_for_tokens(Arc::clone(self.outbound.quotas()), self.membership.clone()));
-        tasks.spawn(tell_news(Arc::clone(self.inbound.quarantine()), self.membership.clone()));
+        tasks.spawn(request_tokens(Arc::clone(self.outbound.quotas()), self.membership.clone()));
+        tasks.spawn(broadcast_findings(Arc::clone(self.inbound.quarantine()), self.membership.clone()));
         if let Some(store) = &self.extensions.quarantine {
-            tasks.spawn(keep_quarantine(QuarantineTask {
+            tasks.spawn(sync_quarantine(QuarantineTask {
                 store: Arc::clone(store),
                 quarantine: Arc::clone(self.inbound.quarantine()),
                 membership: self.membership.clone(),
@@ -354,16 +355,17 @@
                 telemetry: self.environment.telemetry.clone(),
             }));
         }
-        tasks.spawn(follow_unreachable(Arc::clone(&self.inbound), Arc::clone(&self.back_end)));
+        tasks.spawn(handle_unreachable(Arc::clone(&self.inbound), Arc::clone(&self.back_end)));
         tasks.spawn(follow_warmth(Arc::clone(&self.back_end)));
-        tasks.spawn(keep_house(Arc::clone(&self.inbound), Arc::clone(&self.outbound)));
+        tasks.spawn(run_maintenance(Arc::clone(&self.inbound), Arc::clone(&self.outbound)));
         if let Some(back_end) = self.config.back_end {
-            self.start_asking(&mut tasks, back_end);
+            self.start_health_checks(&mut tasks, back_end);
         }
     }
 
-    /// A back end that announces itself is asked only after a restart; any other is asked at regular times.
-    fn start_asking(&self, tasks: &mut JoinSet<()>, back_end: BackEndConfig) {
+    /// Starts the health checks of the back end. One that sends announcements is probed only after a restart
+    /// of the node; any other is checked periodically.
+    fn start_health_checks(&self, tasks: &mut JoinSet<()>, back_end: BackEndConfig) {
         let monitor = Arc::clone(&self.back_end);
         let service = self.config.service.clone();
         if self.config.listen.registration.is_none() {
@@ -380,15 +382,15 @@
     }
 }
 
-async fn follow_unreachable(inbound: Arc<Inbound>, back_end: Arc<BackEndMonitor>) {
+async fn handle_unreachable(inbound: Arc<Inbound>, back_end: Arc<BackEndMonitor>) {
     let mut unreachable = inbound.watch_unreachable();
     while let Some(life) = unreachable.recv().await {
         back_end.unreachable(&life);
     }
 }
 
-/// Has tokens asked for whenever a request waits for one.
-async fn ask_for_tokens(quotas: Arc<QuotaGate>, membership: ActorRef<MembershipMessage>) {
+/// Requests tokens whenever a request waits for one.
+async fn request_tokens(quotas: Arc<QuotaGate>, membership: ActorRef<MembershipMessage>) {
     loop {
         quotas.token_wanted().await;
         if membership.send_message(MembershipMessage::TokenWanted).is_err() {
@@ -397,7 +399,7 @@
     }
 }
 
-async fn keep_house(inbound: Arc<Inbound>, outbound: Arc<Outbound>) {
+async fn run_maintenance(inbound: Arc<Inbound>, outbound: Arc<Outbound>) {
     loop {
         tokio::time::sleep(EXPIRY_INTERVAL).await;
         inbound.close_expired();
--- a/crates/daemon/src/stop.rs
+++ b/crates/daemon/src/stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop: nothing in flight is cut, nothing new is taken that can't be finished.
+//! Graceful shutdown: open requests are finished, and new requests that can't be finished are refused.
 
 use std::sync::atomic::Ordering;
 use std::time::Duration;
@@ -13,47 +13,48 @@
 use crate::readiness::Unready;
 use crate::start::RunningDaemon;
 
-/// Looks at the readiness that callers have to miss before they stay away.
-const MISSED_LOOKS: u32 = 2;
-/// Longest time until callers stay away.
-const CALLERS_LEAVE_WITHIN: Duration = Duration::from_millis(2_600);
-/// Longest time in which the back end gets new work from other nodes; with the last arrivals it stays below 2 s.
-const BACK_END_LEAVES_WITHIN: Duration = Duration::from_millis(1_700);
-/// Share of the grace in which new requests are served at most; the rest is for finishing them.
-const SERVING_SHARE: f64 = 0.45;
-/// Time in which what was sent before the last missed look arrives.
-const LAST_ARRIVALS: Duration = Duration::from_millis(150);
-/// Time kept before the kill, in which the last answers leave and the process ends.
-const ANSWER_RESERVE: Duration = Duration::from_millis(900);
-/// Time kept before the kill, in which the process ends.
-const RESERVE: Duration = Duration::from_millis(700);
-/// Time between two looks.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time for the last words to leave.
-const LAST_WORDS: Duration = Duration::from_millis(20);
+/// Number of unready responses after which callers are expected to send no more requests to this node.
+const REQUIRED_UNREADY_RESPONSES: u32 = 2;
+/// Maximum time for which the node waits for these responses before it refuses callers.
+const MAX_CALLER_WAIT: Duration = Duration::from_millis(2_600);
+/// Maximum time for which the back end gets new requests from other nodes; with the arrival margin it stays
+/// below 2 s.
+const MAX_BACK_END_WAIT: Duration = Duration::from_millis(1_700);
+/// Maximum share of the grace period in which new requests are served; the rest is for finishing them.
+const MAX_SERVING_SHARE: f64 = 0.45;
+/// Time in which requests arrive that were sent before the sender knew of the shutdown.
+const ARRIVAL_MARGIN: Duration = Duration::from_millis(150);
+/// Time reserved at the end of the grace period for sending the last responses and ending the process.
+const RESPONSE_RESERVE: Duration = Duration::from_millis(900);
+/// Time reserved at the end of the grace period for ending the process.
+const EXIT_RESERVE: Duration = Duration::from_millis(700);
+/// Interval at which conditions of the shutdown are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time for sending the last membership messages.
+const FLUSH_TIME: Duration = Duration::from_millis(20);
 
-/// How a process stopped.
+/// Result of a shutdown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StopReport {
-    /// Requests that were open when it ended.
+    /// Number of requests that were still open when the process ended.
     pub cut: usize,
 }
 
 impl RunningDaemon {
-    /// Stops: first nobody is sent here any more, then what is open is finished and what still comes is refused, then
-    /// the process may end. Takes less than the grace of the settings.
+    /// Shuts down gracefully: becomes unready so that callers and nodes send no more requests, then finishes
+    /// the open requests and refuses late ones. Takes less than the grace period of the settings.
     pub async fn stop(&self) -> StopReport {
-        let began = Instant::now();
+        let started_at = Instant::now();
         let telemetry = &self.environment.telemetry;
         telemetry.emit(Event::DrainStarted { timeout_millis: millis(self.config.grace) });
         telemetry.metrics().set_ready(false);
         telemetry.emit(Event::BecameUnready { reason: Unready::Stopping.to_string() });
-        self.control.leave(began + self.config.grace.saturating_sub(ANSWER_RESERVE));
-        tokio::join!(self.retire_back_end(began), self.refuse_late_callers(began));
-        let cut = self.wait_until_finished(began).await;
+        self.control.leave(started_at + self.config.grace.saturating_sub(RESPONSE_RESERVE));
+        tokio::join!(self.drain_back_end(started_at), self.refuse_late_callers(started_at));
+        let cut = self.wait_until_finished(started_at).await;
         let _ = self.membership.send_message(MembershipMessage::Phase(MemberPhase::Left));
-        sleep(LAST_WORDS).await;
-        let waited_millis = millis(began.elapsed());
+        sleep(FLUSH_TIME).await;
+        let waited_millis = millis(started_at.elapsed());
         telemetry.emit(if cut == 0 {
             Event::DrainFinished { waited_millis }
         } else {
@@ -63,62 +64,65 @@
         StopReport { cut }
     }
 
-    /// Stops without finishing anything; tells what was cut.
+    /// Stops without finishing open requests; returns how many there were.
     pub async fn stop_at_once(&self) -> StopReport {
-        let cut = self.open();
+        let cut = self.count_open_requests();
         self.environment.telemetry.emit(Event::StoppedAtOnce { cut: cut as u64 });
         let _ = self.membership.send_message(MembershipMessage::Phase(MemberPhase::Left));
-        sleep(LAST_WORDS).await;
+        sleep(FLUSH_TIME).await;
         self.kill();
         StopReport { cut }
     }
 
-    /// Ends at once, as a killed process does: nothing is finished and nobody is told.
+    /// Ends immediately, as a killed process does: finishes no request and informs no other node.
     pub fn kill(&self) {
         self.tasks.lock().abort_all();
         self.membership.kill();
         self.configuration.kill();
     }
 
-    /// Lets other nodes send work to the back end for a while, since its slots are missed as long as this process is
-    /// away; then tells them to stay away, and refuses what still comes.
-    async fn retire_back_end(&self, began: Instant) {
-        self.wait_until_callers_stay_away(began, BACK_END_LEAVES_WITHIN).await;
+    /// Lets other nodes send requests to the back end for some time, since its slots are unavailable until
+    /// the process has restarted. Then publishes that this node is leaving, and refuses late requests.
+    async fn drain_back_end(&self, started_at: Instant) {
+        self.wait_for_unready_responses(started_at, MAX_BACK_END_WAIT).await;
         let _ = self.membership.send_message(MembershipMessage::Phase(MemberPhase::Leaving));
-        sleep(LAST_ARRIVALS).await;
+        sleep(ARRIVAL_MARGIN).await;
         self.inbound.close();
     }
 
-    /// Serves the callers beside this node until they stay away, and refuses those that still come.
-    async fn refuse_late_callers(&self, began: Instant) {
-        self.wait_until_callers_stay_away(began, CALLERS_LEAVE_WITHIN).await;
-        sleep(LAST_ARRIVALS).await;
+    /// Serves the callers beside this node until they have left, and refuses late requests.
+    async fn refuse_late_callers(&self, started_at: Instant) {
+        self.wait_for_unready_responses(started_at, MAX_CALLER_WAIT).await;
+        sleep(ARRIVAL_MARGIN).await;
         self.control.advance(ServerPhase::Refusing);
-        sleep(LAST_ARRIVALS).await;
+        sleep(ARRIVAL_MARGIN).await;
     }
 
-    /// Waits until callers have missed enough looks at the readiness, at most for `longest`.
-    async fn wait_until_callers_stay_away(&self, began: Instant, longest: Duration) {
-        let limit = longest.min(self.config.grace.mul_f64(SERVING_SHARE));
-        while self.unready_answers.load(Ordering::Relaxed) < MISSED_LOOKS && began.elapsed() < limit {
-            sleep(LOOK_INTERVAL).await;
+    /// Waits until callers have received enough unready responses, at most for `longest`.
+    async fn wait_for_unready_responses(&self, started_at: Instant, longest: Duration) {
+        let limit = longest.min(self.config.grace.mul_f64(MAX_SERVING_SHARE));
+        while self.unready_responses.load(Ordering::Relaxed) < REQUIRED_UNREADY_RESPONSES
+            && started_at.elapsed() < limit
+        {
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Waits until nothing is open; gives the number of requests that are still open at the end of the grace.
-    async fn wait_until_finished(&self, began: Instant) -> usize {
-        let last = began + self.config.grace.saturating_sub(RESERVE);
+    /// Waits until no request is open; returns the number of requests still open at the end of the grace
+    /// period.
+    async fn wait_until_finished(&self, started_at: Instant) -> usize {
+        let last = started_at + self.config.grace.saturating_sub(EXIT_RESERVE);
         loop {
-            let open = self.open();
+            let open = self.count_open_requests();
             if open == 0 || Instant::now() >= last {
                 return open;
             }
-            sleep(LOOK_INTERVAL).await;
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Requests that this process holds for callers or for its back end.
-    fn open(&self) -> usize {
+    /// Number of requests that this process holds for callers or for its back end.
+    fn count_open_requests(&self) -> usize {
         let load = self.inbound.load();
         self.control.open_requests() + load.running as usize + load.waiting as usize
     }
--- a/crates/daemon/src/suspension.rs
+++ b/crates/daemon/src/suspension.rs
@@ -1,6 +1,7 @@
-//! Notices that the machine was suspended.
+//! Detects that the machine was suspended.
 //!
-//! The runtime's clock stands still meanwhile, and a clock that counts the time since the machine's start does not. What the difference grows by is time that passed for everybody else.
+//! The clock of the runtime stops while the machine is suspended, but the boot clock advances. The growth of
+//! the difference between the two is the time of the suspension, which has passed for all other nodes.
 
 use std::fmt;
 use std::sync::Arc;
@@ -9,17 +10,18 @@
 use rustix::time::{ClockId, clock_gettime};
 use tokio::time::Instant;
 
-/// Growth of the difference from which on it counts as a suspension. Both clocks run alike but for that; between two readings of them the process may be held up for a tenth of a
-/// second where its share of the processor is spent, and shorter gaps change nothing that a node believes.
-const SUSPENDED_FROM: Duration = Duration::from_millis(250);
+/// Minimum growth of the difference that counts as a suspension. Apart from suspensions both clocks advance
+/// equally. Between the readings of the two clocks the process may be throttled for a tenth of a second, when
+/// its CPU quota is used up; shorter gaps have no effect on the state of a node.
+const MIN_SUSPENSION: Duration = Duration::from_millis(250);
 
-/// A clock that goes on while the machine is suspended.
+/// A clock that advances while the machine is suspended.
 pub trait BootClock: Send + Sync + 'static {
-    /// Time since some moment before the process started; absent if it can't be had.
+    /// Time since a fixed instant before the process started; absent if the clock can't be read.
     fn now(&self) -> Option<Duration>;
 }
 
-/// The clock of the machine.
+/// The boot clock of the machine.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct MachineClock;
 
@@ -32,7 +34,7 @@
     }
 }
 
-/// No clock: the machine is taken never to be suspended. For surroundings in which time is not the machine's.
+/// No boot clock, so that no suspension is ever detected. For environments with simulated time.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct NoBootClock;
 
@@ -42,10 +44,10 @@
     }
 }
 
-/// Compares the runtime's clock with that of the machine.
+/// Detects suspensions by comparing the runtime's clock with the boot clock.
 pub(crate) struct SuspensionWatch {
     clock: Arc<dyn BootClock>,
-    /// Both clocks when they were compared last.
+    /// Readings of both clocks at the last comparison.
     compared: Option<(Instant, Duration)>,
 }
 
@@ -60,28 +62,28 @@
         Self { clock, compared: None }
     }
 
-    /// Time for which the machine was suspended since this was asked last; absent if it was not.
-    pub(crate) fn look(&mut self) -> Option<Duration> {
+    /// Time for which the machine was suspended since the last call; absent if it was not.
+    pub(crate) fn check(&mut self) -> Option<Duration> {
         let gap = self.gap()?;
-        if gap < SUSPENDED_FROM {
+        if gap < MIN_SUSPENSION {
             return None;
         }
-        // The process may have been held up between the two readings: then the next pair shows no gap.
+        // The process may have been paused between the two readings; then the next pair shows no gap.
         let gap = gap.min(self.gap()?);
         self.compared = Some((Instant::now(), self.clock.now()?));
-        (gap >= SUSPENDED_FROM).then_some(gap)
+        (gap >= MIN_SUSPENSION).then_some(gap)
     }
 
     /// Growth of the difference since the last comparison.
     fn gap(&mut self) -> Option<Duration> {
-        let steady = Instant::now();
+        let runtime = Instant::now();
         let boot = self.clock.now()?;
-        let (steady_before, boot_before) = *self.compared.get_or_insert((steady, boot));
-        let by_boot = boot.saturating_sub(boot_before);
-        let by_steady = steady.saturating_duration_since(steady_before);
-        let gap = by_boot.saturating_sub(by_steady);
-        if gap < SUSPENDED_FROM {
-            self.compared = Some((steady, boot));
+        let (runtime_before, boot_before) = *self.compared.get_or_insert((runtime, boot));
+        let boot_elapsed = boot.saturating_sub(boot_before);
+        let runtime_elapsed = runtime.saturating_duration_since(runtime_before);
+        let gap = boot_elapsed.saturating_sub(runtime_elapsed);
+        if gap < MIN_SUSPENSION {
+            self.compared = Some((runtime, boot));
         }
         Some(gap)
     }
--- a/crates/daemon/tests/settings.rs
+++ b/crates/daemon/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings are checked whole: every fault in one report, with its line and its mend.
+//! Tests that settings are checked as a whole, with all faults, their lines and suggestions in one report.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -7,7 +7,7 @@
 use quickcheck::{QuickCheck, TestResult};
 use umberpond_daemon::settings::{FaultKind, SettingsOverride, SettingsReport, load, parse_duration};
 
-/// A settings file in a directory of its own, removed at the end.
+/// A settings file in its own temporary directory, which is removed on drop.
 struct SettingsFile {
     directory: PathBuf,
 }
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn example_is_valid_and_flags_win() {
+fn the_example_is_valid_and_flags_take_precedence() {
     let from_file = load(Some(&example_path()), &[]).expect("the example is valid");
     assert_eq!(from_file.node.as_str(), "billing-1");
     assert_eq!(from_file.topology.values().map(std::collections::BTreeSet::len).sum::<usize>(), 4);
@@ -62,7 +62,7 @@
 }
 
 #[test]
-fn all_faults_stand_in_one_report_with_their_lines() {
+fn one_report_lists_all_faults_with_their_lines() {
     let faulty = example()
         .replace("zone = \"hall-1\"", "zone = \"hall-9\"")
         .replace("name = \"billing-1\"", "name = \"Billing 1\"")
@@ -96,7 +96,7 @@
     assert_eq!(report.faults.len(), 11, "{report:?}");
 
     let zone = report.faults.iter().find(|fault| matches!(fault.kind(), FaultKind::UnknownZone { .. }));
-    let line = faulty.lines().position(|line| line.starts_with("zone =")).expect("the line is there") + 1;
+    let line = faulty.lines().position(|line| line.starts_with("zone =")).expect("the line exists") + 1;
     assert_eq!(zone.expect("the zone is a fault").line(), Some(line));
 
     let rendered = format!("{:?}", miette::Report::new(report));
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn durations_have_a_unit_and_may_have_a_fraction() {
+fn durations_without_a_number_or_known_unit_are_rejected() {
     for (text, millis) in [("1500ms", 1_500), ("2.5s", 2_500), ("0ms", 0), ("1m", 60_000)] {
         assert_eq!(parse_duration(text), Ok(Duration::from_millis(millis)), "{text}");
     }
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn missing_file_and_faulty_flag_are_told() {
+fn a_missing_file_and_an_invalid_flag_are_reported() {
     let report = load(Some(Path::new("/nonexistent/node.toml")), &[]).expect_err("there is no file");
     assert!(matches!(kinds(&report)[..], [FaultKind::UnreadableFile { .. }]));
 
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn seal_key_is_not_in_the_report_of_a_faulty_key_file() {
+fn a_seal_key_does_not_leak_into_reports_or_debug_output() {
     let content = example().replace("# [secrets]", "[secrets]").replace("# seal-key-file", "seal-key-file");
     let file = SettingsFile::new("seal-key", content.as_bytes());
     fs::write(file.directory.join("billing.key"), "almost-a-key").expect("the key can be written");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn random_bytes_are_a_report_and_never_a_panic() {
+fn random_bytes_cause_a_report_and_never_a_panic() {
     fn property(bytes: Vec<u8>) -> TestResult {
         let file = SettingsFile::new("random", &bytes);
         let Err(report) = load(Some(&file.path()), &[]) else { return TestResult::failed() };
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_rate_of_the_link_is_read_and_may_be_unknown() {
+fn the_link_rate_is_optional_and_must_not_be_negative() {
     let rate_with = |test: &str, text: &str| {
         let file = SettingsFile::new(test, format!("{}\n{text}", example()).as_bytes());
         load(Some(&file.path()), &[]).map(|config| config.link_rate)
