--- a/crates/daemon/src/back_end/tracker.rs
+++ b/crates/daemon/src/back_end/tracker.rs
@@ -131,14 +131,14 @@
     /// Handles a successful health check of `back_end`. The response doesn't identify the process by its
     /// start time.
     pub fn on_confirmed(&mut self, now: Instant, back_end: BackEnd) -> Effect {
-        let is_present =
+        let is_current =
             self.current.as_ref().is_some_and(|process| process.back_end.life.may_equal(&back_end.life));
-        if !is_present && self.ended.iter().any(|ended| ended.life.may_equal(&back_end.life)) {
+        if !is_current && self.ended.iter().any(|ended| ended.life.may_equal(&back_end.life)) {
             return Effect::None;
         }
         self.may_be_draining = false;
         match &mut self.current {
-            Some(process) if is_present => {
+            Some(process) if is_current => {
                 let was_unreachable = process.state == BackEndState::Unreachable;
                 let is_change =
                     was_unreachable || (process.sequence.is_none() && process.back_end != back_end);
--- a/crates/daemon/src/configuration/actor.rs
+++ b/crates/daemon/src/configuration/actor.rs
@@ -33,7 +33,7 @@
 }
 
 pub(crate) struct ConfigurationState {
-    held: ConfigurationHistory,
+    history: ConfigurationHistory,
     activation: Arc<Activation>,
     membership: ActorRef<MembershipMessage>,
     network: Arc<dyn Network>,
@@ -58,7 +58,7 @@
         arguments: Self::Arguments,
     ) -> Result<Self::State, ActorProcessingErr> {
         Ok(ConfigurationState {
-            held: ConfigurationHistory::default(),
+            history: ConfigurationHistory::default(),
             activation: arguments.activation,
             membership: arguments.membership,
             network: arguments.network,
@@ -77,7 +77,7 @@
     ) -> Result<(), ActorProcessingErr> {
         match message {
             ConfigurationMessage::PeerVersion { version, peer, is_same_zone } => {
-                state.newer_peers.on_peer_version(peer, version, state.held.version(), is_same_zone);
+                state.newer_peers.on_peer_version(peer, version, state.history.version(), is_same_zone);
                 state.fetch_if_behind(&myself);
             }
             ConfigurationMessage::Fetched { fetched, from } => state.on_fetched(&myself, fetched, from),
@@ -88,12 +88,12 @@
             ConfigurationMessage::Sourced(sourced) => {
                 // Creating a `VersionedConfiguration` computes its hash, so that older versions are skipped
                 // first.
-                if state.held.version() < Some(sourced.version) {
+                if state.history.version() < Some(sourced.version) {
                     let _ = state.offer(VersionedConfiguration::new(sourced.version, sourced.snapshot));
                 }
             }
             ConfigurationMessage::Pull { held, reply } => {
-                let _ = reply.send(state.held.encoded_transfer_for(held));
+                let _ = reply.send(state.history.encoded_transfer_for(held));
             }
         }
         Ok(())
@@ -108,7 +108,7 @@
         }
         let Some(from) = self.newer_peers.choose(&mut self.random) else { return };
         self.is_fetching = true;
-        let held = self.held.newest().map(VersionedConfiguration::held);
+        let held = self.history.newest().map(VersionedConfiguration::held);
         let network = Arc::clone(&self.network);
         let myself = myself.clone();
         tokio::spawn(async move {
@@ -137,7 +137,7 @@
 
     fn receive(&self, bytes: &[u8]) -> Result<Option<VersionedConfiguration>, TransferError> {
         self.telemetry.metrics().control(Direction::In, TRANSFER, bytes.len());
-        self.held.receive(Transfer::from_bytes(bytes)?)
+        self.history.receive(Transfer::from_bytes(bytes)?)
     }
 
     fn on_fetch_failed(&mut self, from: SocketAddr, reason: String) {
@@ -157,11 +157,11 @@
     /// Activates a newer configuration and publishes its version; `false` if it isn't newer or can't be
     /// activated.
     fn offer(&mut self, offered: VersionedConfiguration) -> bool {
-        if self.held.version() >= Some(offered.version) || !self.activation.activate(&offered) {
+        if self.history.version() >= Some(offered.version) || !self.activation.activate(&offered) {
             return false;
         }
         let version = offered.version;
-        self.held.offer(offered);
+        self.history.offer(offered);
         self.newer_peers.on_own_version(version);
         let _ = self.membership.send_message(MembershipMessage::Version(version));
         true
--- a/crates/daemon/src/settings/reader.rs
+++ b/crates/daemon/src/settings/reader.rs
@@ -191,7 +191,7 @@
         default: T,
     ) -> Option<T> {
         let Some(text) = self.text(key) else { return Some(default) };
-        let choice = choices.iter().find(|(word, _)| *word == text.value).map(|(_, choice)| *choice);
+        let choice = choices.iter().find(|(name, _)| *name == text.value).map(|(_, choice)| *choice);
         if choice.is_none() {
             self.fault(FaultKind::Choice { key, value: text.value, allowed }, text.origin);
         }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -384,8 +384,8 @@
 
 async fn handle_unreachable(inbound: Arc<Inbound>, back_end: Arc<BackEndMonitor>) {
     let mut unreachable = inbound.watch_unreachable();
-    while let Some(life) = unreachable.recv().await {
-        back_end.unreachable(&life);
+    while let Some(process) = unreachable.recv().await {
+        back_end.unreachable(&process);
     }
 }
 
