--- a/crates/daemon/src/settings/mod.rs
+++ b/crates/daemon/src/settings/mod.rs
@@ -22,7 +22,7 @@
 pub use load::load;
 pub use override_flag::SettingsOverride;
 
-/// Checked settings of one node. Built by [`load`], or directly by a simulation.
+/// Checked settings of one node. Built by [`load()`], or directly by a simulation.
 #[derive(Debug, Clone)]
 pub struct NodeConfig {
     /// Name of the node.
