--- a/crates/daemon/src/configuration/peers.rs
+++ b/crates/daemon/src/configuration/peers.rs
@@ -115,6 +115,7 @@
                     }
                 });
             }
+            // The error affects only this connection; the listener continues after a pause.
             Err(_error) => tokio::time::sleep(ACCEPT_PAUSE).await,
         }
     }
--- a/crates/daemon/src/http_server.rs
+++ b/crates/daemon/src/http_server.rs
@@ -127,6 +127,7 @@
             };
             handler.answer(request).await
         }
+        // Either the body is too long or reading it failed.
         Err(_error) => HttpAnswer::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
     };
     let mut response = Response::new(Full::new(answer.body));
