--- a/crates/daemon/src/back_end/mod.rs
+++ b/crates/daemon/src/back_end/mod.rs
@@ -1,16 +1,16 @@
-//! What the back end beside this node says of itself, and what follows from it.
+//! Announcements and health checks of the back end beside this node, and the state derived from them.
 
 mod announcement;
 mod check;
-mod lives;
 mod monitor;
 mod probe;
+mod tracker;
 mod warmth;
 
 pub use announcement::{AnnouncedState, Announcement};
 pub use check::CheckSettings;
 pub(crate) use check::check_periodically;
-pub use lives::{BackEndLives, CloseReason, Effect};
 pub use monitor::BackEndMonitor;
 pub(crate) use probe::probe_at_start;
+pub use tracker::{BackEndTracker, CloseReason, Effect};
 pub(crate) use warmth::follow_warmth;
--- /dev/null
+++ b/crates/daemon/src/back_end/tracker.rs
@@ -0,0 +1,345 @@
+//! Tracks which process of the back end is the current one and whether it accepts new requests. Performs no
+//! I/O; the time is an argument.
+
+use std::collections::VecDeque;
+use std::time::{Duration, Instant};
+
+use umberpond_forwarding::BackEnd;
+use umberpond_membership::{BackEndRecord, BackEndState};
+use umberpond_model::BackEndProcess;
+
+use super::announcement::{AnnouncedState, Announcement};
+
+/// Number of ended processes that are remembered, so that a delayed announcement doesn't reopen one of them.
+const MAX_ENDED_PROCESSES: usize = 32;
+/// Silence of the current process after which a process with an earlier start time is accepted as its
+/// successor. Longer than any announcement is delayed. The start times may be in the wrong order, because the
+/// clock of the back end's machine may have been set back between the two processes.
+const MAX_ANNOUNCEMENT_DELAY: Duration = Duration::from_secs(6);
+
+/// Why a back end accepts no new requests.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum CloseReason {
+    /// It announced that it is draining.
+    Draining,
+    /// It withdrew itself because it is shutting down.
+    Withdrawn,
+}
+
+impl CloseReason {
+    /// The reason as text, for logs.
+    #[must_use]
+    pub const fn as_str(self) -> &'static str {
+        match self {
+            Self::Draining => "the back end announced that it is draining",
+            Self::Withdrawn => "the back end withdrew itself",
+        }
+    }
+}
+
+/// Action that the caller has to take after an event of the back end.
+#[derive(Debug, Clone, PartialEq, Eq)]
+pub enum Effect {
+    /// No action.
+    None,
+    /// Accept new requests for this back end.
+    Open(BackEnd),
+    /// Accept no new requests, for this reason.
+    Close(CloseReason),
+    /// Check the health of the back end before accepting new requests.
+    Confirm(BackEnd),
+}
+
+#[derive(Debug, Clone)]
+struct TrackedProcess {
+    back_end: BackEnd,
+    /// Sequence number of the last announcement; absent if this node process has received none.
+    sequence: Option<u64>,
+    state: BackEndState,
+    cold_until: Instant,
+    /// When the last announcement, or the last response to a health check that was recorded, arrived.
+    last_seen_at: Instant,
+    /// Whether it was unreachable and then healthy again. Until the next announcement it may be another
+    /// process of the same back end.
+    is_reconfirmed: bool,
+}
+
+/// A process that has ended.
+#[derive(Debug, Clone)]
+struct EndedProcess {
+    life: BackEndProcess,
+    /// Sequence number of its last announcement.
+    sequence: Option<u64>,
+    /// Whether it announced draining or withdrew itself; otherwise another process has replaced it.
+    has_left: bool,
+}
+
+/// Tracks the processes of the back end beside this node.
+#[derive(Debug)]
+pub struct BackEndTracker {
+    current: Option<TrackedProcess>,
+    ended: VecDeque<EndedProcess>,
+    /// Whether an earlier process of this node may have acknowledged that the current process is draining.
+    may_be_draining: bool,
+}
+
+impl BackEndTracker {
+    /// Creates a tracker that knows no process yet. `may_be_draining`: an earlier process of this node may
+    /// have acknowledged draining and ended before it could inform other nodes.
+    #[must_use]
+    pub const fn new(may_be_draining: bool) -> Self {
+        Self { current: None, ended: VecDeque::new(), may_be_draining }
+    }
+
+    /// Handles an announcement.
+    pub fn on_announcement(&mut self, now: Instant, announcement: &Announcement) -> Effect {
+        let Some(process) = &mut self.current else {
+            return if self.has_ended(announcement) {
+                Effect::None
+            } else {
+                self.on_new_process(now, announcement)
+            };
+        };
+        if !process.may_have_sent(now, announcement) {
+            let is_late = self.has_ended(announcement) || !self.may_be_succeeded_by(now, &announcement.life);
+            return if is_late { Effect::None } else { self.on_new_process(now, announcement) };
+        }
+        if !process.is_reconfirmed && process.sequence.is_some_and(|known| known >= announcement.sequence) {
+            return Effect::None;
+        }
+        process.sequence = Some(announcement.sequence);
+        process.cold_until = now + announcement.cold_for;
+        process.last_seen_at = now;
+        self.on_current_announcement(announcement)
+    }
+
+    /// Handles the withdrawal of `process`.
+    pub fn on_withdrawn(&mut self, process: &BackEndProcess) -> Effect {
+        let Some(current) = self.current.as_mut().filter(|current| current.back_end.life.may_equal(process))
+        else {
+            self.remember_ended(EndedProcess { life: process.clone(), sequence: None, has_left: true });
+            return Effect::None;
+        };
+        current.state = BackEndState::Draining;
+        current.set_start(process);
+        let ended =
+            EndedProcess { life: current.back_end.life.clone(), sequence: current.sequence, has_left: true };
+        self.remember_ended(ended);
+        Effect::Close(CloseReason::Withdrawn)
+    }
+
+    /// Handles a successful health check of `back_end`. The response doesn't identify the process by its
+    /// start time.
+    pub fn on_confirmed(&mut self, now: Instant, back_end: BackEnd) -> Effect {
+        let is_current =
+            self.current.as_ref().is_some_and(|process| process.back_end.life.may_equal(&back_end.life));
+        if !is_current && self.ended.iter().any(|ended| ended.life.may_equal(&back_end.life)) {
+            return Effect::None;
+        }
+        self.may_be_draining = false;
+        match &mut self.current {
+            Some(process) if is_current => {
+                let was_unreachable = process.state == BackEndState::Unreachable;
+                let is_change =
+                    was_unreachable || (process.sequence.is_none() && process.back_end != back_end);
+                if process.state == BackEndState::Draining || !is_change {
+                    return Effect::None;
+                }
+                process.state = BackEndState::Ready;
+                process.last_seen_at = now;
+                process.is_reconfirmed = was_unreachable;
+                if process.sequence.is_none() {
+                    process.back_end = back_end;
+                }
+                Effect::Open(BackEnd {
+                    life: BackEndProcess::of(&process.back_end.life.instance),
+                    ..process.back_end.clone()
+                })
+            }
+            Some(process) if process.sequence.is_some() => Effect::None,
+            _ => {
+                self.end_current();
+                self.current = Some(TrackedProcess {
+                    back_end: back_end.clone(),
+                    sequence: None,
+                    state: BackEndState::Ready,
+                    cold_until: now,
+                    last_seen_at: now,
+                    is_reconfirmed: false,
+                });
+                Effect::Open(back_end)
+            }
+        }
+    }
+
+    /// Records the remaining warm-up time that a process reported.
+    pub fn on_cold(&mut self, now: Instant, reported: &BackEndProcess, cold_for: Duration) {
+        if let Some(process) =
+            self.current.as_mut().filter(|process| process.back_end.life.may_equal(reported))
+        {
+            process.cold_until = now + cold_for;
+        }
+    }
+
+    /// Handles a failure of this node to reach the back end.
+    pub fn on_unreachable(&mut self, reported: &BackEndProcess) -> Effect {
+        match &mut self.current {
+            Some(process)
+                if process.back_end.life.may_equal(reported) && process.state == BackEndState::Ready =>
+            {
+                process.state = BackEndState::Unreachable;
+                Effect::Confirm(process.back_end.clone())
+            }
+            _ => Effect::None,
+        }
+    }
+
+    /// The record that is published to other nodes; absent if no process is known.
+    #[must_use]
+    pub fn record(&self, now: Instant) -> Option<BackEndRecord> {
+        let process = self.current.as_ref()?;
+        Some(BackEndRecord {
+            instance: process.back_end.life.to_string(),
+            service: process.back_end.service.clone(),
+            release: process.back_end.release.clone(),
+            slots: process.back_end.slots,
+            state: process.state,
+            is_cold: process.cold_until > now,
+        })
+    }
+
+    /// The current back end and the sequence number of its last announcement; 0 if this node process has
+    /// received none.
+    #[must_use]
+    pub fn current(&self) -> Option<(&BackEnd, u64)> {
+        self.current.as_ref().map(|process| (&process.back_end, process.sequence.unwrap_or(0)))
+    }
+
+    /// Remaining warm-up time of the current process.
+    #[must_use]
+    pub fn cold_for(&self, now: Instant) -> Duration {
+        self.current
+            .as_ref()
+            .map_or(Duration::ZERO, |process| process.cold_until.saturating_duration_since(now))
+    }
+
+    fn on_current_announcement(&mut self, announcement: &Announcement) -> Effect {
+        let Some(process) = &mut self.current else { return Effect::None };
+        if announcement.state == AnnouncedState::Draining {
+            let is_change = process.state != BackEndState::Draining;
+            process.set_start(&announcement.life);
+            process.state = BackEndState::Draining;
+            return if is_change { Effect::Close(CloseReason::Draining) } else { Effect::None };
+        }
+        match process.state {
+            BackEndState::Draining => Effect::None,
+            BackEndState::Unreachable => Effect::Confirm(process.back_end.clone()),
+            BackEndState::Ready => {
+                let announced = back_end(announcement);
+                let is_change = announced != process.back_end || process.is_reconfirmed;
+                process.back_end = announced.clone();
+                process.is_reconfirmed = false;
+                if is_change { Effect::Open(announced) } else { Effect::None }
+            }
+        }
+    }
+
+    fn on_new_process(&mut self, now: Instant, announcement: &Announcement) -> Effect {
+        if self.end_current() {
+            self.may_be_draining = false;
+        }
+        let is_ready = announcement.state == AnnouncedState::Ready;
+        let state = match (is_ready, self.may_be_draining) {
+            (false, _) => BackEndState::Draining,
+            (true, true) => BackEndState::Unreachable,
+            (true, false) => BackEndState::Ready,
+        };
+        let back_end = back_end(announcement);
+        self.current = Some(TrackedProcess {
+            back_end: back_end.clone(),
+            sequence: Some(announcement.sequence),
+            state,
+            cold_until: now + announcement.cold_for,
+            last_seen_at: now,
+            is_reconfirmed: false,
+        });
+        match state {
+            BackEndState::Ready => Effect::Open(back_end),
+            BackEndState::Unreachable => Effect::Confirm(back_end),
+            BackEndState::Draining => Effect::Close(CloseReason::Draining),
+        }
+    }
+
+    /// Whether `process`, which differs from the current process, may be its successor: it didn't start
+    /// earlier, or the current process is unreachable, or that one has been silent for longer than an
+    /// announcement of an earlier process is delayed.
+    fn may_be_succeeded_by(&self, now: Instant, process: &BackEndProcess) -> bool {
+        let Some(current) = &self.current else { return true };
+        let is_silent = now.saturating_duration_since(current.last_seen_at) > MAX_ANNOUNCEMENT_DELAY;
+        let is_over = current.state == BackEndState::Unreachable || is_silent;
+        is_over || !process.started_before(&current.back_end.life)
+    }
+
+    /// Whether an announcement is a delayed one of an ended process. A process that was only replaced,
+    /// started after the current one and sends further announcements is not considered ended.
+    fn has_ended(&self, announcement: &Announcement) -> bool {
+        let is_same_process = |ended: &&EndedProcess| ended.life == announcement.life;
+        let Some(ended) = self.ended.iter().find(is_same_process) else { return false };
+        let current = self.current.as_ref().map(|current| &current.back_end.life);
+        let started_after = current.is_some_and(|current| current.started_before(&ended.life));
+        let is_newer = ended.sequence.is_some_and(|known| announcement.sequence > known);
+        ended.has_left || !started_after || !is_newer
+    }
+
+    /// Moves the current process to the ended ones; `false` if there is none.
+    fn end_current(&mut self) -> bool {
+        let Some(before) = self.current.take() else { return false };
+        let has_left = before.state == BackEndState::Draining;
+        self.remember_ended(EndedProcess { life: before.back_end.life, sequence: before.sequence, has_left });
+        true
+    }
+
+    fn remember_ended(&mut self, ended: EndedProcess) {
+        self.ended.retain(|known| known.life != ended.life);
+        if self.ended.len() >= MAX_ENDED_PROCESSES {
+            self.ended.pop_front();
+        }
+        self.ended.push_back(ended);
+    }
+}
+
+impl TrackedProcess {
+    /// Whether this process may have sent an announcement. If it was unreachable and then healthy again, the
+    /// first announcement after that may come from any process of the back end that didn't start earlier.
+    fn may_have_sent(&self, now: Instant, announcement: &Announcement) -> bool {
+        let (known, reported) = (&self.back_end.life, &announcement.life);
+        let may_have_changed =
+            self.is_reconfirmed && known.instance == reported.instance && !reported.started_before(known);
+        (known.may_equal(reported) || may_have_changed) && !self.must_have_ended(now, reported)
+    }
+
+    /// Whether this process, whose start time is unknown, has been draining and silent for so long that an
+    /// announcement with a start time must come from its successor.
+    fn must_have_ended(&self, now: Instant, reported: &BackEndProcess) -> bool {
+        let is_silent = now.saturating_duration_since(self.last_seen_at) > MAX_ANNOUNCEMENT_DELAY;
+        let adds_start = self.back_end.life.born.is_none() && reported.born.is_some();
+        self.state == BackEndState::Draining && adds_start && is_silent
+    }
+
+    /// Records the start time of this process, if `reported` has one.
+    fn set_start(&mut self, reported: &BackEndProcess) {
+        if reported.born.is_some() {
+            self.back_end.life = reported.clone();
+        }
+    }
+}
+
+fn back_end(announcement: &Announcement) -> BackEnd {
+    BackEnd {
+        life: announcement.life.clone(),
+        service: announcement.service.clone(),
+        release: announcement.release.clone(),
+        address: announcement.address,
+        slots: announcement.slots,
+    }
+}
--- /dev/null
+++ b/crates/daemon/tests/back_end_tracker.rs
@@ -0,0 +1,285 @@
+//! Tests of which process of the back end is the current one and whether it accepts new requests.
+
+use std::time::{Duration, Instant};
+
+use quickcheck::quickcheck;
+use umberpond_daemon::back_end::{AnnouncedState, Announcement, BackEndTracker, CloseReason, Effect};
+use umberpond_forwarding::BackEnd;
+use umberpond_membership::BackEndState;
+use umberpond_model::BackEndProcess;
+
+fn announcement(instance: &str, state: AnnouncedState, sequence: u64) -> Announcement {
+    Announcement {
+        life: BackEndProcess::of(instance),
+        release: None,
+        service: "archive".parse().unwrap(),
+        address: "10.0.0.1:80".parse().unwrap(),
+        slots: 9,
+        state,
+        cold_for: Duration::ZERO,
+        sequence,
+    }
+}
+
+fn ready_for(instance: &str, sequence: u64) -> Announcement {
+    announcement(instance, AnnouncedState::Ready, sequence)
+}
+
+fn draining(instance: &str, sequence: u64) -> Announcement {
+    announcement(instance, AnnouncedState::Draining, sequence)
+}
+
+fn back_end(instance: &str) -> BackEnd {
+    BackEnd {
+        life: BackEndProcess::of(instance),
+        release: None,
+        service: "archive".parse().unwrap(),
+        address: "10.0.0.1:80".parse().unwrap(),
+        slots: 9,
+    }
+}
+
+fn state(tracker: &BackEndTracker) -> Option<BackEndState> {
+    tracker.record(Instant::now()).map(|record| record.state)
+}
+
+#[test]
+fn only_the_first_of_equal_announcements_opens_the_back_end() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 1)), Effect::Open(back_end("a")));
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 2)), Effect::None);
+    assert_eq!(state(&tracker), Some(BackEndState::Ready));
+}
+
+#[test]
+fn a_delayed_announcement_does_not_reopen_a_draining_back_end() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    tracker.on_announcement(now, &ready_for("a", 1));
+    assert_eq!(tracker.on_announcement(now, &draining("a", 3)), Effect::Close(CloseReason::Draining));
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 2)), Effect::None);
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 4)), Effect::None, "draining is final");
+    assert_eq!(state(&tracker), Some(BackEndState::Draining));
+}
+
+#[test]
+fn a_withdrawn_process_that_never_drained_does_not_reopen() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    tracker.on_announcement(now, &ready_for("a", 1));
+    assert_eq!(tracker.on_withdrawn(&BackEndProcess::of("a")), Effect::Close(CloseReason::Withdrawn));
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 2)), Effect::None);
+    assert_eq!(tracker.on_confirmed(now, back_end("a")), Effect::None);
+    assert_eq!(state(&tracker), Some(BackEndState::Draining));
+}
+
+#[test]
+fn a_replaced_process_does_not_become_current_again() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    tracker.on_announcement(now, &ready_for("a", 7));
+    assert_eq!(tracker.on_announcement(now, &ready_for("b", 1)), Effect::Open(back_end("b")));
+    assert_eq!(
+        tracker.on_announcement(now, &ready_for("a", 8)),
+        Effect::None,
+        "delayed announcement of an ended process"
+    );
+    assert_eq!(tracker.on_withdrawn(&BackEndProcess::of("a")), Effect::None);
+    assert_eq!(state(&tracker), Some(BackEndState::Ready));
+}
+
+#[test]
+fn an_announcement_after_a_node_restart_needs_confirmation() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(true);
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 5)), Effect::Confirm(back_end("a")));
+    assert_eq!(state(&tracker), Some(BackEndState::Unreachable));
+    assert_eq!(tracker.on_confirmed(now, back_end("a")), Effect::Open(back_end("a")));
+    assert_eq!(state(&tracker), Some(BackEndState::Ready));
+}
+
+#[test]
+fn a_health_check_after_a_node_restart_needs_no_announcement() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(true);
+    assert_eq!(tracker.on_confirmed(now, back_end("a")), Effect::Open(back_end("a")));
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 3)), Effect::None);
+    assert_eq!(tracker.on_announcement(now, &draining("a", 4)), Effect::Close(CloseReason::Draining));
+}
+
+#[test]
+fn an_unreachable_back_end_stays_closed_until_it_is_confirmed() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    tracker.on_announcement(now, &ready_for("a", 1));
+    assert_eq!(tracker.on_unreachable(&BackEndProcess::of("a")), Effect::Confirm(back_end("a")));
+    assert_eq!(
+        tracker.on_unreachable(&BackEndProcess::of("a")),
+        Effect::None,
+        "it is being confirmed already"
+    );
+    assert_eq!(tracker.on_announcement(now, &ready_for("a", 2)), Effect::Confirm(back_end("a")));
+    assert_eq!(tracker.on_confirmed(now, back_end("a")), Effect::Open(back_end("a")));
+}
+
+#[test]
+fn an_announcement_updates_slots_and_warm_up_time() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    let cold = Announcement { cold_for: Duration::from_secs(2), ..ready_for("a", 1) };
+    tracker.on_announcement(now, &cold);
+    assert!(tracker.record(now).unwrap().is_cold);
+    assert_eq!(tracker.cold_for(now), Duration::from_secs(2));
+    assert!(!tracker.record(now + Duration::from_secs(3)).unwrap().is_cold);
+    let grown = Announcement { slots: 12, ..ready_for("a", 2) };
+    let expected = BackEnd { slots: 12, ..back_end("a") };
+    assert_eq!(tracker.on_announcement(now, &grown), Effect::Open(expected));
+}
+
+/// The process of `instance` that started at `born`.
+fn process(instance: &str, born: u64) -> BackEndProcess {
+    BackEndProcess { instance: instance.to_owned(), born: Some(born) }
+}
+
+fn ready_announcement(process: &BackEndProcess, sequence: u64) -> Announcement {
+    Announcement { life: process.clone(), ..ready_for("a", sequence) }
+}
+
+fn open_effect(process: &BackEndProcess) -> Effect {
+    Effect::Open(BackEnd { life: process.clone(), ..back_end("a") })
+}
+
+#[test]
+fn a_process_with_a_new_start_time_replaces_the_old_one_despite_a_lower_sequence() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    let (first, second) = (process("a", 100), process("a", 200));
+    tracker.on_announcement(now, &ready_announcement(&first, 70));
+    assert_eq!(tracker.on_announcement(now, &ready_announcement(&second, 1)), open_effect(&second));
+    assert_eq!(
+        tracker.on_announcement(now, &ready_announcement(&first, 71)),
+        Effect::None,
+        "delayed announcement"
+    );
+    assert_eq!(tracker.on_withdrawn(&first), Effect::None);
+    assert_eq!(tracker.on_withdrawn(&second), Effect::Close(CloseReason::Withdrawn));
+    let third = process("a", 300);
+    assert_eq!(tracker.on_announcement(now, &ready_announcement(&third, 1)), open_effect(&third));
+}
+
+#[test]
+fn a_delayed_announcement_of_an_unknown_earlier_process_changes_nothing() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    let (unknown, current) = (process("a", 100), process("b", 200));
+    tracker.on_announcement(now, &ready_announcement(&current, 5));
+    assert_eq!(tracker.on_announcement(now, &ready_announcement(&unknown, 9)), Effect::None);
+    assert_eq!(state(&tracker), Some(BackEndState::Ready));
+    let later = now + Duration::from_secs(7);
+    assert_eq!(
+        tracker.on_announcement(later, &ready_announcement(&unknown, 10)),
+        open_effect(&unknown),
+        "the clock was set back"
+    );
+    assert_eq!(tracker.on_announcement(later, &ready_announcement(&current, 5)), Effect::None);
+    assert_eq!(
+        tracker.on_announcement(later, &ready_announcement(&current, 6)),
+        open_effect(&current),
+        "it was only silent"
+    );
+}
+
+#[test]
+fn a_back_end_that_is_reachable_again_may_be_a_new_process() {
+    let now = Instant::now();
+    let mut tracker = BackEndTracker::new(false);
+    let (first, second) = (process("a", 100), process("a", 200));
+    tracker.on_announcement(now, &ready_announcement(&first, 70));
+    tracker.on_unreachable(&first);
+    assert_eq!(tracker.on_confirmed(now, back_end("a")), Effect::Open(back_end("a")));
+    assert_eq!(tracker.on_announcement(now, &ready_announcement(&second, 1)), open_effect(&second));
+    assert_eq!(tracker.on_announcement(now, &ready_announcement(&first, 71)), Effect::None);
+}
+
+/// The node has just started: a health check has shown that the back end is healthy, but not when it started.
+#[test]
+fn draining_of_a_process_with_unknown_start_does_not_close_its_successor() {
+    let now = Instant::now();
+    let (first, second) = (process("a", 100), process("a", 200));
+    for reports_start in [true, false] {
+        let mut tracker = BackEndTracker::new(true);
+        tracker.on_confirmed(now, back_end("a"));
+        let leaving = if reports_start { first.clone() } else { BackEndProcess::of("a") };
+        assert_eq!(tracker.on_withdrawn(&leaving), Effect::Close(CloseReason::Withdrawn));
+        assert_eq!(
+            tracker.on_announcement(now, &ready_announcement(&first, 7)),
+            Effect::None,
+            "delayed announcement"
+        );
+        let later = now + Duration::from_secs(7);
+        assert_eq!(
+            tracker.on_announcement(later, &ready_announcement(&second, 1)),
+            open_effect(&second),
+            "{reports_start}"
+        );
+    }
+    let mut tracker = BackEndTracker::new(true);
+    tracker.on_confirmed(now, back_end("a"));
+    let leaving = Announcement { life: first.clone(), ..draining("a", 9) };
+    assert_eq!(tracker.on_announcement(now, &leaving), Effect::Close(CloseReason::Draining));
+    assert_eq!(tracker.on_announcement(now, &ready_announcement(&second, 1)), open_effect(&second));
+}
+
+quickcheck! {
+    /// Announcements of several processes with one identity may arrive late, twice and in any order: a
+    /// process that has closed never accepts requests again.
+    fn a_closed_process_never_reopens_under_a_shared_identity(events: Vec<(u8, u8, u8, u8)>) -> bool {
+        let mut now = Instant::now();
+        let mut tracker = BackEndTracker::new(false);
+        let mut left = [false; 3];
+        for (which, kind, sequence, pause) in events {
+            now += Duration::from_millis(u64::from(pause) * 50);
+            let number = usize::from(which % 3);
+            let process = process("a", 100 + number as u64);
+            let effect = match kind % 4 {
+                0 => tracker.on_announcement(now, &Announcement { life: process, ..draining("a", u64::from(sequence)) }),
+                1 => tracker.on_withdrawn(&process),
+                2 => tracker.on_unreachable(&process),
+                _ => tracker.on_announcement(now, &ready_announcement(&process, u64::from(sequence))),
+            };
+            if let Effect::Open(opened) = &effect
+                && opened.life.born.is_some_and(|born| left[usize::try_from(born - 100).unwrap()])
+            {
+                return false;
+            }
+            left[number] |= matches!(effect, Effect::Close(_));
+        }
+        true
+    }
+
+    /// Announcements may arrive late, twice and in any order: a process that has closed never accepts
+    /// requests again.
+    fn a_closed_process_never_reopens(events: Vec<(u8, u8, u8)>) -> bool {
+        let now = Instant::now();
+        let mut tracker = BackEndTracker::new(false);
+        let mut left = [false; 3];
+        for (which, kind, sequence) in events {
+            let number = usize::from(which % 3);
+            let instance = ["a", "b", "c"][number];
+            let effect = match kind % 4 {
+                0 => tracker.on_announcement(now, &draining(instance, u64::from(sequence))),
+                1 => tracker.on_withdrawn(&BackEndProcess::of(instance)),
+                2 => tracker.on_confirmed(now, back_end(instance)),
+                _ => tracker.on_announcement(now, &ready_for(instance, u64::from(sequence))),
+            };
+            if let Effect::Open(opened) = &effect
+                && ["a", "b", "c"].iter().zip(left).any(|(name, left)| opened.life.instance == *name && left)
+            {
+                return false;
+            }
+            left[number] |= matches!(effect, Effect::Close(_));
+        }
+        true
+    }
+}
