--- a/crates/daemon/src/membership/plans.rs
+++ b/crates/daemon/src/membership/plans.rs
@@ -31,7 +31,7 @@
     ) {
         for record in membership.reachable().chain([membership.own()]) {
             for plan in &record.rollouts {
-                if self.held.take_in(now, plan) {
+                if self.held.update(now, plan) {
                     put_in_force(plan, outbound, telemetry);
                 }
             }
--- a/crates/daemon/src/rollouts/task.rs
+++ b/crates/daemon/src/rollouts/task.rs
@@ -255,8 +255,8 @@
     fn carry_out(&mut self, actions: Vec<CoordinatorAction>) {
         for action in actions {
             match action {
-                CoordinatorAction::Tell { plan, reason, verdict, answers } => {
-                    self.tell_decision(&plan, reason, verdict, answers);
+                CoordinatorAction::Publish { plan, reason, verdict, responses } => {
+                    self.tell_decision(&plan, reason, verdict, responses);
                     self.hold_told(&plan);
                 }
                 CoordinatorAction::Write { service, target, revision, state } => {
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 use umberpond_model::{BackEndProcess, RegionName, ReleaseName, RequestRate, ServiceName};
 use umberpond_net::Network;
-use umberpond_rollouts::{AnswerTally, RouteTally};
+use umberpond_rollouts::{ResponseTally, RouteTally};
 use umberpond_scheduling::{ColdStartLimiter, DuplicateWindow, LoadReport};
 use umberpond_telemetry::{Event, Telemetry};
 
@@ -104,7 +104,7 @@
     pub(super) is_evacuated: AtomicBool,
     /// Whether the rollout of the service leaves the back end's release any requests.
     is_release_open: AtomicBool,
-    pub(super) answers: Mutex<AnswerTally>,
+    pub(super) answers: Mutex<ResponseTally>,
     pub(super) runs: Arc<ActiveRuns>,
     pub(super) calls: CallGate,
     pub(super) suspended: Arc<SuspendedTime>,
--- a/crates/rollouts/src/coordinator.rs
+++ b/crates/rollouts/src/coordinator.rs
@@ -12,21 +12,25 @@
 use crate::plan::{ALL_PERMILLE, PlanStage, RolloutPlan};
 use crate::schedule::{Progress, RolloutSettings, is_over, step, step_of};
 
-/// Share of the time after which a rollout whose target never came is taken back.
-const NEVER_CAME_SHARE: f64 = 0.85;
-/// Share of the time after which it is no longer waited for nodes that report nothing: they may be cut off.
+/// Fraction of the rollout duration after which the rollout is reverted if no back end of the target is
+/// ready.
+const TARGET_WAIT_SHARE: f64 = 0.85;
+/// Fraction of the rollout duration after which the coordinator stops waiting for nodes to drain: nodes that
+/// send no reports may be partitioned.
 const FORCED_END_SHARE: f64 = 0.9;
-/// Share of a rollout's time that counts as past when a coordinator takes over and nobody could tell it how much is.
+/// Fraction of the rollout duration that a new coordinator assumes to have elapsed if it took over without a
+/// plan that gives the elapsed time.
 const UNKNOWN_ELAPSED_SHARE: f64 = 0.3;
-/// Time from the last step to the end at least: plans reach all nodes within it, and requests that were sent before arrive.
+/// Minimum time between the last change of stage and the final state. Within it the plan reaches all nodes,
+/// and requests that were sent under the previous plan arrive.
 const SETTLING_TIME: Duration = Duration::from_millis(800);
-/// Slots of the target that have to be there before all requests go to it, as a share of those of the others.
+/// Slots that the target needs before it gets all requests, as a fraction of the slots of the other releases.
 const CAPACITY_SHARE: f64 = 0.7;
 
-/// The back ends of one service that can be reached, by release.
+/// The reachable back ends of one service, by release.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EndpointCounts {
-    /// Nodes beside back ends of each release that take new work, with their slots.
+    /// Nodes whose back end accepts new requests, with the number of its slots, by release.
     pub ready: BTreeMap<ReleaseName, Vec<(NodeName, u32)>>,
 }
 
@@ -42,119 +46,121 @@
     }
 }
 
-/// What the coordinator wants done.
+/// An action that the caller of [`RolloutCoordinator`] has to carry out.
 #[derive(Debug, Clone, PartialEq)]
 pub enum CoordinatorAction {
-    /// Every node is to be told this plan.
-    Tell {
+    /// Send this plan to all nodes.
+    Publish {
         /// The plan.
         plan: RolloutPlan,
-        /// What led to it.
+        /// Why the coordinator chose this stage, for the log.
         reason: &'static str,
-        /// What is found of the target.
+        /// Evaluation of the target.
         verdict: Verdict,
-        /// Answers of the target seen so far.
-        answers: u32,
+        /// Number of responses of the target so far.
+        responses: u32,
     },
-    /// The state is to be written under the condition that the object still has the revision.
+    /// Write the state to the store, on condition that the object still has the given revision.
     Write {
         /// The service.
         service: ServiceName,
         /// The target.
         target: ReleaseName,
-        /// Revision of the object.
+        /// Expected revision of the object.
         revision: u64,
         /// The state.
         state: RolloutState,
     },
 }
 
-/// One rollout that goes on.
+/// A rollout in progress.
 #[derive(Debug)]
-struct Running {
+struct ActiveRollout {
     stored: StoredRollout,
-    /// Revision at which the target was seen first.
-    seen: u64,
-    /// When this coordinator took it up, and the time from the order until then, as far as known.
-    taken_up_at: Instant,
-    elapsed_before: Duration,
+    /// Store revision at which a coordinator first read this target.
+    target_revision: u64,
+    /// When this coordinator took the rollout over, and the known or estimated time from the order until
+    /// then.
+    taken_over_at: Instant,
+    elapsed_at_takeover: Duration,
     stage: PlanStage,
     stage_since: Instant,
-    /// Answers of the target when the stage began.
-    answers_before: u32,
+    /// Number of responses of the target when the stage began.
+    responses_before: u32,
     judge: ReleaseJudge,
 }
 
-/// Decides on the next step of every rollout. Each node that reads the store has one; two of them may work at the same time: the
-/// later stage holds on all nodes, and only one end can be written.
+/// Decides on the next step of every rollout. Each node that reads the store runs a coordinator. Several may
+/// be active at the same time: nodes adopt the later stage, and conditional writes let only one final state
+/// reach the store.
 #[derive(Debug)]
 pub struct RolloutCoordinator {
     settings: RolloutSettings,
-    running: BTreeMap<ServiceName, Running>,
-    /// When the orders were read last: a new one came later.
+    active: BTreeMap<ServiceName, ActiveRollout>,
+    /// When the orders were last read from the store; an order that is new since then was given later.
     read_at: Option<Instant>,
 }
 
 impl RolloutCoordinator {
-    /// A coordinator that knows of no rollout.
+    /// Creates a coordinator without rollouts.
     #[must_use]
     pub const fn new(settings: RolloutSettings) -> Self {
-        Self { settings, running: BTreeMap::new(), read_at: None }
+        Self { settings, active: BTreeMap::new(), read_at: None }
     }
 
-    /// Gives all up: the node does not coordinate any more.
+    /// Discards all rollouts, when the node stops coordinating.
     pub fn clear(&mut self) {
-        self.running.clear();
+        self.active.clear();
         self.read_at = None;
     }
 
-    /// Whether any rollout goes on.
+    /// Whether no rollout is in progress.
     #[must_use]
     pub fn is_idle(&self) -> bool {
-        self.running.is_empty()
+        self.active.is_empty()
     }
 
-    /// Takes in what the store holds. Gives the plans that follow at once: those of rollouts that have ended, and of orders that
-    /// were taken back.
+    /// Processes the rollouts read from the store. Returns the plans that need no further evaluation: those
+    /// of finished rollouts and of withdrawn orders.
     pub fn on_stored(
         &mut self,
         now: Instant,
         held: &HeldPlans,
         stored: Vec<StoredRollout>,
     ) -> Vec<CoordinatorAction> {
-        let mut actions = self.taken_back(now, &stored);
-        let unread_for = self.read_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        let mut actions = self.remove_withdrawn(now, &stored);
+        let since_last_read = self.read_at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.read_at = Some(now);
         for rollout in stored {
             let service = rollout.order.service.clone();
             match rollout.state.filter(|state| state.is_final()) {
                 Some(state) => {
-                    self.running.remove(&service);
-                    actions.extend(tell_end(held, &rollout, state));
+                    self.active.remove(&service);
+                    actions.extend(final_plan(held, &rollout, state));
                 }
-                None => self.on_running(now, held, rollout, unread_for),
+                None => self.on_running(now, held, rollout, since_last_read),
             }
         }
         actions
     }
 
-    /// Takes in a node's report.
+    /// Processes the report of a node.
     pub fn on_evidence(&mut self, evidence: ReleaseEvidence) {
-        if let Some(running) = self.running.get_mut(&evidence.service) {
-            let is_target = evidence.release == running.stored.order.target;
-            running.judge.on_evidence(is_target, evidence);
+        if let Some(rollout) = self.active.get_mut(&evidence.service) {
+            let is_target = evidence.release == rollout.stored.order.target;
+            rollout.judge.on_evidence(is_target, evidence);
         }
     }
 
-    /// Takes in that the store holds the state `state` for `service` at the revision `revision` now.
+    /// Records that the store now holds `state` for `service` at `revision`.
     pub fn on_written(&mut self, service: &ServiceName, state: RolloutState, revision: u64) {
-        if let Some(running) = self.running.get_mut(service) {
-            running.stored.state = Some(state);
-            running.stored.revision = revision;
+        if let Some(rollout) = self.active.get_mut(service) {
+            rollout.stored.state = Some(state);
+            rollout.stored.revision = revision;
         }
     }
 
-    /// Decides on the next steps. `endpoints` are the back ends that can be reached.
+    /// Decides on the next steps. `endpoints` are the reachable back ends.
     pub fn on_tick(
         &mut self,
         now: Instant,
@@ -163,82 +169,94 @@
     ) -> Vec<CoordinatorAction> {
         let nothing = EndpointCounts::default();
         let mut actions = Vec::new();
-        for (service, running) in &mut self.running {
-            running.follow(now, held);
+        for (service, rollout) in &mut self.active {
+            rollout.adopt_later_stage(now, held);
             let counts = endpoints.get(service).unwrap_or(&nothing);
-            actions.extend(running.on_tick(now, &self.settings, counts));
+            actions.extend(rollout.on_tick(now, &self.settings, counts));
         }
         actions
     }
 
-    fn on_running(&mut self, now: Instant, held: &HeldPlans, stored: StoredRollout, unread_for: Duration) {
+    fn on_running(
+        &mut self,
+        now: Instant,
+        held: &HeldPlans,
+        stored: StoredRollout,
+        since_last_read: Duration,
+    ) {
         let service = stored.order.service.clone();
-        if let Some(running) = self.running.get_mut(&service)
-            && running.stored.order.target == stored.order.target
-            && running.stored.made == stored.made
+        if let Some(rollout) = self.active.get_mut(&service)
+            && rollout.stored.order.target == stored.order.target
+            && rollout.stored.created_revision == stored.created_revision
         {
-            running.stored = stored;
+            rollout.stored = stored;
             return;
         }
-        self.running.insert(service, Running::new(now, held, stored, unread_for));
+        self.active.insert(service, ActiveRollout::new(now, held, stored, since_last_read));
     }
 
-    /// Orders that the store no longer holds: their target gets nothing any more.
-    fn taken_back(&mut self, now: Instant, stored: &[StoredRollout]) -> Vec<CoordinatorAction> {
+    /// Removes rollouts whose order is no longer in the store, and stops sending requests to their targets.
+    fn remove_withdrawn(&mut self, now: Instant, stored: &[StoredRollout]) -> Vec<CoordinatorAction> {
         let is_held = |service: &ServiceName| stored.iter().any(|rollout| rollout.order.service == *service);
         let gone: Vec<ServiceName> =
-            self.running.keys().filter(|service| !is_held(service)).cloned().collect();
-        let taken = gone.into_iter().filter_map(|service| self.running.remove(&service));
+            self.active.keys().filter(|service| !is_held(service)).cloned().collect();
+        let taken = gone.into_iter().filter_map(|service| self.active.remove(&service));
         taken
-            .map(|mut running| running.go_to(now, PlanStage::Reverted, "order-taken-back", Verdict::Sound))
+            .map(|mut rollout| {
+                rollout.enter_stage(now, PlanStage::Reverted, "order-taken-back", Verdict::Sound)
+            })
             .collect()
     }
 }
 
-impl Running {
-    fn new(now: Instant, held: &HeldPlans, stored: StoredRollout, unread_for: Duration) -> Self {
+impl ActiveRollout {
+    fn new(now: Instant, held: &HeldPlans, stored: StoredRollout, since_last_read: Duration) -> Self {
         let service = &stored.order.service;
         let known = held
             .get(service)
-            .filter(|plan| plan.made == stored.made && plan.target == stored.order.target)
+            .filter(|plan| {
+                plan.created_revision == stored.created_revision && plan.target == stored.order.target
+            })
             .cloned();
         let is_taken_over = stored.state.is_some();
         let elapsed = match (&known, is_taken_over) {
             (Some(_), _) => held.elapsed(now, service).unwrap_or_default(),
             (None, true) => stored.order.duration.mul_f64(UNKNOWN_ELAPSED_SHARE),
-            // The store may have been away since before the order.
-            (None, false) => unread_for,
+            // The order may be as old as the last successful read, if the store was unavailable since then.
+            (None, false) => since_last_read,
         };
         Self {
-            seen: known.as_ref().map_or(stored.revision, |plan| plan.seen),
-            taken_up_at: now,
-            elapsed_before: elapsed,
+            target_revision: known.as_ref().map_or(stored.revision, |plan| plan.target_revision),
+            taken_over_at: now,
+            elapsed_at_takeover: elapsed,
             stage: known.map_or(PlanStage::Share(0), |plan| plan.stage),
             stage_since: now,
-            answers_before: 0,
+            responses_before: 0,
             judge: ReleaseJudge::new(),
             stored,
         }
     }
 
-    /// Time since the order, as far as known.
+    /// Known or estimated time since the order.
     fn elapsed(&self, now: Instant) -> Duration {
-        self.elapsed_before + now.saturating_duration_since(self.taken_up_at)
+        self.elapsed_at_takeover + now.saturating_duration_since(self.taken_over_at)
     }
 
-    /// The time that steps share: what was left when this coordinator took the rollout up.
+    /// Time available for all steps: what was left of the duration when this coordinator took the rollout
+    /// over.
     fn time_for_steps(&self) -> Duration {
-        self.stored.order.duration.saturating_sub(self.elapsed_before)
+        self.stored.order.duration.saturating_sub(self.elapsed_at_takeover)
     }
 
-    /// Goes on from a later stage that another coordinator has told.
-    fn follow(&mut self, now: Instant, held: &HeldPlans) {
+    /// Continues from a later stage that another coordinator published.
+    fn adopt_later_stage(&mut self, now: Instant, held: &HeldPlans) {
         let Some(plan) = held.get(&self.stored.order.service) else { return };
-        let is_same = plan.made == self.stored.made && plan.target == self.stored.order.target;
+        let is_same =
+            plan.created_revision == self.stored.created_revision && plan.target == self.stored.order.target;
         if is_same && plan.stage > self.stage {
             self.stage = plan.stage;
             self.stage_since = now;
-            self.answers_before = self.judge.answers();
+            self.responses_before = self.judge.responses();
         }
     }
 
@@ -255,12 +273,12 @@
         }
         match self.stage {
             PlanStage::Share(_) if verdict != Verdict::Sound => {
-                actions.push(self.go_to(now, PlanStage::Reverting, "target-is-bad", verdict));
+                actions.push(self.enter_stage(now, PlanStage::Reverting, "target-is-bad", verdict));
             }
-            PlanStage::Share(permille) => actions.extend(self.next_share(now, settings, counts, permille)),
+            PlanStage::Share(permille) => actions.extend(self.advance_share(now, settings, counts, permille)),
             PlanStage::Reverting => {
                 let target = self.stored.order.target.clone();
-                if self.is_settled(now, counts, |release| *release == target) {
+                if self.is_drained(now, counts, |release| *release == target) {
                     actions.push(self.write(RolloutState::Reverted));
                 }
             }
@@ -269,7 +287,7 @@
         actions
     }
 
-    fn next_share(
+    fn advance_share(
         &mut self,
         now: Instant,
         settings: &RolloutSettings,
@@ -281,35 +299,37 @@
         let elapsed = self.elapsed(now);
         let target_slots = counts.slots(|release| *release == target);
         if target_slots == 0 {
-            let is_hopeless = elapsed >= duration.mul_f64(NEVER_CAME_SHARE);
-            return is_hopeless
-                .then(|| self.go_to(now, PlanStage::Reverting, "target-never-came", Verdict::Sound));
+            let is_target_missing = elapsed >= duration.mul_f64(TARGET_WAIT_SHARE);
+            return is_target_missing
+                .then(|| self.enter_stage(now, PlanStage::Reverting, "target-never-came", Verdict::Sound));
         }
         if permille == 0 {
             let first = step(settings, 0).permille;
-            return Some(self.go_to(now, PlanStage::Share(first), "target-is-there", Verdict::Sound));
+            return Some(self.enter_stage(now, PlanStage::Share(first), "target-is-there", Verdict::Sound));
         }
         if permille >= ALL_PERMILLE {
-            let is_over = self.is_settled(now, counts, |release| *release != target);
+            let is_over = self.is_drained(now, counts, |release| *release != target);
             return is_over.then(|| self.write(RolloutState::Complete));
         }
         let number = step_of(settings, permille);
         let stayed = now.saturating_duration_since(self.stage_since);
-        let answers = self.judge.answers().saturating_sub(self.answers_before);
-        let progress = Progress { duration, elapsed, time_for_steps: self.time_for_steps(), stayed, answers };
+        let responses = self.judge.responses().saturating_sub(self.responses_before);
+        let progress =
+            Progress { duration, elapsed, time_for_steps: self.time_for_steps(), stayed, responses };
         if !is_over(step(settings, number), progress) {
             return None;
         }
         let next = step(settings, number + 1).permille;
         let others_slots = counts.slots(|release| *release != target);
         let is_enough = f64::from(target_slots) >= CAPACITY_SHARE * f64::from(others_slots);
-        let is_late = elapsed >= duration.mul_f64(NEVER_CAME_SHARE);
+        let is_late = elapsed >= duration.mul_f64(TARGET_WAIT_SHARE);
         (next < ALL_PERMILLE || is_enough || is_late)
-            .then(|| self.go_to(now, PlanStage::Share(next), "sound-so-far", Verdict::Sound))
+            .then(|| self.enter_stage(now, PlanStage::Share(next), "sound-so-far", Verdict::Sound))
     }
 
-    /// Whether the back ends of the releases that get no requests any more have none left.
-    fn is_settled(
+    /// Whether the back ends of the closed releases have no requests left, or the time to wait for that is
+    /// over.
+    fn is_drained(
         &self,
         now: Instant,
         counts: &EndpointCounts,
@@ -320,14 +340,14 @@
         }
         let elapsed = self.elapsed(now);
         let is_forced = elapsed >= self.stored.order.duration.mul_f64(FORCED_END_SHARE);
-        let is_empty = |node: &NodeName| match self.judge.last_of(node) {
+        let is_empty = |node: &NodeName| match self.judge.last_report(node) {
             Some(last) => last.is_closed && last.in_flight == 0,
             None => false,
         };
         is_forced || counts.nodes(is_closed).all(is_empty)
     }
 
-    fn go_to(
+    fn enter_stage(
         &mut self,
         now: Instant,
         stage: PlanStage,
@@ -336,20 +356,20 @@
     ) -> CoordinatorAction {
         self.stage = stage;
         self.stage_since = now;
-        self.answers_before = self.judge.answers();
+        self.responses_before = self.judge.responses();
         let elapsed = self.elapsed(now);
-        CoordinatorAction::Tell {
+        CoordinatorAction::Publish {
             plan: RolloutPlan {
                 service: self.stored.order.service.clone(),
                 target: self.stored.order.target.clone(),
-                made: self.stored.made,
-                seen: self.seen,
+                created_revision: self.stored.created_revision,
+                target_revision: self.target_revision,
                 elapsed_millis: u32::try_from(elapsed.as_millis()).unwrap_or(u32::MAX),
                 stage,
             },
             reason,
             verdict,
-            answers: self.judge.answers(),
+            responses: self.judge.responses(),
         }
     }
 
@@ -363,22 +383,22 @@
     }
 }
 
-/// The plan by which all nodes hear of an end that the store holds.
-fn tell_end(held: &HeldPlans, rollout: &StoredRollout, state: RolloutState) -> Option<CoordinatorAction> {
+/// The plan that sends the final state from the store to all nodes, unless they have it already.
+fn final_plan(held: &HeldPlans, rollout: &StoredRollout, state: RolloutState) -> Option<CoordinatorAction> {
     let stage = if state == RolloutState::Complete { PlanStage::Complete } else { PlanStage::Reverted };
     let plan = RolloutPlan {
         service: rollout.order.service.clone(),
         target: rollout.order.target.clone(),
-        made: rollout.made,
-        seen: rollout.revision,
+        created_revision: rollout.created_revision,
+        target_revision: rollout.revision,
         elapsed_millis: 0,
         stage,
     };
     let is_known = held.get(&plan.service).is_some_and(|before| !plan.supersedes(before));
-    (!is_known).then_some(CoordinatorAction::Tell {
+    (!is_known).then_some(CoordinatorAction::Publish {
         plan,
         reason: "store-holds-the-end",
         verdict: Verdict::Sound,
-        answers: 0,
+        responses: 0,
     })
 }
--- a/crates/rollouts/src/evidence.rs
+++ b/crates/rollouts/src/evidence.rs
@@ -1,4 +1,4 @@
-//! What the node beside a back end has seen of its answers.
+//! Response counts of one back end, and the report that carries them to the coordinators.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -6,39 +6,40 @@
 use bitcode::{Decode, Encode};
 use umberpond_model::{NodeName, ReleaseName, ServiceName};
 
-/// Most routes counted apart at one back end: more would not fit into a datagram. The rest is counted together.
+/// Maximum number of routes with their own counters at one back end, so that a report fits into a datagram.
+/// All further routes share one counter.
 const MAX_ROUTES: usize = 12;
-/// Key under which the answers of all further routes are counted.
+/// Key of the counter that all further routes share.
 const OTHER_ROUTES: u32 = 0;
 
-/// Answers of one route since the process started.
+/// Responses of one route since the process started.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Encode, Decode)]
 pub struct RouteTally {
-    /// Hash of the route's name; all nodes use the same.
+    /// Hash of the route's name, the same on all nodes.
     pub route: u32,
-    /// Answers that are no failures.
+    /// Successful responses.
     pub good: u32,
-    /// Answers that the back end gave as failures.
+    /// Failed responses of the back end.
     pub bad: u32,
-    /// Sum of the times that the back end took for the good ones, in milliseconds.
+    /// Total back-end time of the successful responses, in milliseconds.
     pub good_millis: u64,
 }
 
-/// Counts the answers of one back end.
+/// Counts the responses of one back end by route.
 #[derive(Debug, Default)]
-pub struct AnswerTally {
+pub struct ResponseTally {
     routes: BTreeMap<u32, RouteTally>,
 }
 
-impl AnswerTally {
-    /// Takes in an answer of the route whose name has this hash.
-    pub fn record(&mut self, route: u32, is_good: bool, served_in: Duration) {
-        let is_counted_apart = self.routes.contains_key(&route) || self.routes.len() < MAX_ROUTES;
-        let route = if is_counted_apart { route } else { OTHER_ROUTES };
+impl ResponseTally {
+    /// Counts a response on the route whose name has the hash `route`.
+    pub fn record(&mut self, route: u32, is_good: bool, back_end_time: Duration) {
+        let has_own_counter = self.routes.contains_key(&route) || self.routes.len() < MAX_ROUTES;
+        let route = if has_own_counter { route } else { OTHER_ROUTES };
         let tally = self.routes.entry(route).or_insert(RouteTally { route, ..RouteTally::default() });
         if is_good {
             tally.good = tally.good.saturating_add(1);
-            tally.good_millis += u64::try_from(served_in.as_millis()).unwrap_or(0);
+            tally.good_millis += u64::try_from(back_end_time.as_millis()).unwrap_or(0);
         } else {
             tally.bad = tally.bad.saturating_add(1);
         }
@@ -50,32 +51,32 @@
         self.routes.values().copied().collect()
     }
 
-    /// Starts anew: another back end stands in the place of the one before.
+    /// Resets all counts, when another back end process has replaced the previous one.
     pub fn clear(&mut self) {
         self.routes.clear();
     }
 }
 
-/// What one node reports to the coordinators of a rollout. Counts go up from the start of the back end's life, so that a lost
-/// or doubled report does no harm.
+/// Report of one node to the coordinators of a rollout. Counts are cumulative since the start of the back end
+/// process, so that lost and duplicate reports do no harm.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ReleaseEvidence {
     /// The node.
     pub node: NodeName,
-    /// Identity of its back end's present life.
+    /// Identity of its current back end process.
     pub instance: String,
-    /// Count of the reports of this process.
+    /// Sequence number of the report within this process of the node.
     pub number: u64,
     /// Service of the back end.
     pub service: ServiceName,
-    /// Its release.
+    /// Release of the back end.
     pub release: ReleaseName,
-    /// Whether it is slow because it has just started.
+    /// Whether the back end is cold, so that its times are not comparable.
     pub is_cold: bool,
-    /// Whether the node lets no request through to it because of a plan.
+    /// Whether the node blocks all requests to the back end because of a plan.
     pub is_closed: bool,
-    /// Requests that it works on or that wait for it.
+    /// Requests that run at the back end or wait for it.
     pub in_flight: u32,
-    /// Answers by route.
+    /// Response counts by route.
     pub routes: Vec<RouteTally>,
 }
--- a/crates/rollouts/src/held.rs
+++ b/crates/rollouts/src/held.rs
@@ -1,4 +1,4 @@
-//! The plans in force on one node.
+//! The rollout plans in force on one node.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -7,30 +7,30 @@
 
 use crate::plan::RolloutPlan;
 
-/// A plan and when it was heard.
+/// A plan and the time when it was received.
 #[derive(Debug, Clone)]
-struct Held {
+struct ReceivedPlan {
     plan: RolloutPlan,
-    heard_at: Instant,
+    received_at: Instant,
 }
 
-/// The latest plan of each service that a node has heard of, whoever told it.
+/// The latest plan of each service that a node has received, from any sender.
 #[derive(Debug, Clone, Default)]
 pub struct HeldPlans {
-    plans: BTreeMap<ServiceName, Held>,
+    plans: BTreeMap<ServiceName, ReceivedPlan>,
 }
 
 impl HeldPlans {
-    /// Takes in a plan; tells whether it is in force now and was not before.
-    pub fn take_in(&mut self, now: Instant, plan: &RolloutPlan) -> bool {
-        let is_news = self.plans.get(&plan.service).is_none_or(|held| plan.supersedes(&held.plan));
-        if is_news {
-            self.plans.insert(plan.service.clone(), Held { plan: plan.clone(), heard_at: now });
+    /// Stores a plan if it supersedes the one of its service. Returns whether it did.
+    pub fn update(&mut self, now: Instant, plan: &RolloutPlan) -> bool {
+        let is_newer = self.plans.get(&plan.service).is_none_or(|held| plan.supersedes(&held.plan));
+        if is_newer {
+            self.plans.insert(plan.service.clone(), ReceivedPlan { plan: plan.clone(), received_at: now });
         }
-        is_news
+        is_newer
     }
 
-    /// The plan of one service.
+    /// The plan of one service, if any.
     #[must_use]
     pub fn get(&self, service: &ServiceName) -> Option<&RolloutPlan> {
         self.plans.get(service).map(|held| &held.plan)
@@ -41,11 +41,11 @@
         self.plans.values().map(|held| &held.plan)
     }
 
-    /// Time since the order of `service` was given, as far as its coordinator knew.
+    /// Time since the order for `service`, based on the estimate of the coordinator that sent the plan.
     #[must_use]
     pub fn elapsed(&self, now: Instant, service: &ServiceName) -> Option<Duration> {
         let held = self.plans.get(service)?;
-        let told = Duration::from_millis(u64::from(held.plan.elapsed_millis));
-        Some(told + now.saturating_duration_since(held.heard_at))
+        let elapsed_at_receipt = Duration::from_millis(u64::from(held.plan.elapsed_millis));
+        Some(elapsed_at_receipt + now.saturating_duration_since(held.received_at))
     }
 }
--- a/crates/rollouts/src/order.rs
+++ b/crates/rollouts/src/order.rs
@@ -1,39 +1,39 @@
-//! What an operator has ordered, as the store holds it.
+//! Rollout orders and their states as stored.
 
 use std::time::Duration;
 
 use umberpond_model::{ReleaseName, ServiceName};
 
-/// An operator's order.
+/// An operator's order to roll out a release.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct RolloutOrder {
-    /// Service whose requests are to be moved.
+    /// Service whose requests are shifted.
     pub service: ServiceName,
-    /// Release to which they are moved.
+    /// Release that the requests are shifted to.
     pub target: ReleaseName,
-    /// Time from the order within which it has to be finished.
+    /// Time after the order within which the rollout has to finish.
     pub duration: Duration,
 }
 
-/// How far a rollout is, as operators see it.
+/// State of a rollout that is shown to operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RolloutState {
-    /// Requests are being moved.
+    /// Requests are being shifted.
     Running,
-    /// All requests go to the target; nothing runs on other releases.
+    /// All requests go to the target; no request runs on other releases.
     Complete,
     /// No request goes to the target.
     Reverted,
 }
 
 impl RolloutState {
-    /// Whether nothing follows.
+    /// Whether no other state can follow.
     #[must_use]
     pub const fn is_final(self) -> bool {
         !matches!(self, Self::Running)
     }
 
-    /// The state as one word, for logs.
+    /// The name of the state, for logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -44,15 +44,17 @@
     }
 }
 
-/// An order and its state as the store holds them.
+/// An order and its state, as read from the store.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoredRollout {
     /// The order.
     pub order: RolloutOrder,
-    /// State written for this order; absent if none was, or only one for an earlier target.
+    /// State written for this order. Absent if there is none yet, or only one for an earlier target.
     pub state: Option<RolloutState>,
-    /// Revision of the store at which the object was changed last. A write under this condition fails if there was another.
+    /// Store revision of the last change of the object. A write conditional on it fails if the object was
+    /// changed since.
     pub revision: u64,
-    /// Revision at which the object was made: an object that was removed and ordered anew has another one.
-    pub made: u64,
+    /// Store revision at which the object was created. It differs if the object was removed and created
+    /// again.
+    pub created_revision: u64,
 }
--- a/crates/rollouts/src/plan.rs
+++ b/crates/rollouts/src/plan.rs
@@ -1,22 +1,22 @@
-//! One step of a rollout, as nodes tell it to one another.
+//! One step of a rollout, as nodes send it to each other.
 
 use bitcode::{Decode, Encode};
 use umberpond_model::{ReleaseName, ServiceName};
 
-/// Thousandths of all requests.
+/// All requests, in thousandths.
 pub(crate) const ALL_PERMILLE: u16 = 1000;
 
-/// Which release gets the requests of a service. Later stages are greater: of two plans for one order the greater is in force,
-/// so a share never shrinks but by reverting.
+/// Which release gets the requests of a service. Later stages compare as greater. Of two plans for the same
+/// order the one with the greater stage is in force, so a share shrinks only by reverting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum PlanStage {
-    /// The target gets so many thousandths of the requests.
+    /// The target gets this many thousandths of the requests.
     Share(u16),
-    /// The target gets none any more; the store does not know it yet.
+    /// The target gets no requests; this is not yet written to the store.
     Reverting,
-    /// The store has it that the target gets none.
+    /// The target gets no requests, as written to the store.
     Reverted,
-    /// The store has it that the target gets all.
+    /// The target gets all requests, as written to the store.
     Complete,
 }
 
@@ -31,25 +31,25 @@
         }
     }
 
-    /// Whether back ends of the target take no request.
+    /// Whether back ends of the target accept no requests.
     #[must_use]
     pub const fn closes_target(self) -> bool {
         matches!(self, Self::Reverting | Self::Reverted)
     }
 
-    /// Whether back ends of other releases take no request.
+    /// Whether back ends of other releases accept no requests.
     #[must_use]
     pub const fn closes_others(self) -> bool {
         matches!(self, Self::Share(ALL_PERMILLE) | Self::Complete)
     }
 
-    /// Whether the rollout goes on.
+    /// Whether the rollout is still in progress.
     #[must_use]
     pub const fn is_running(self) -> bool {
         matches!(self, Self::Share(_) | Self::Reverting)
     }
 
-    /// The stage as one word, for logs.
+    /// The name of the stage, for logs.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -66,13 +66,15 @@
 pub struct RolloutPlan {
     /// The service.
     pub service: ServiceName,
-    /// Release to which its requests are moved.
+    /// Release that its requests are shifted to.
     pub target: ReleaseName,
-    /// Revision of the store at which the order was made. A plan for a later order goes before one for an earlier one.
-    pub made: u64,
-    /// Revision of the store at which the coordinator saw this target first, for orders that were changed in place.
-    pub seen: u64,
-    /// Milliseconds from the order until the plan was told.
+    /// Store revision at which the order was created. A plan for a later order supersedes one for an earlier
+    /// order.
+    pub created_revision: u64,
+    /// Store revision at which the coordinator first read this target, to compare orders that were changed in
+    /// place.
+    pub target_revision: u64,
+    /// Milliseconds from the order until the plan was published.
     pub elapsed_millis: u32,
     /// Which release gets the requests.
     pub stage: PlanStage,
@@ -82,15 +84,15 @@
     /// Whether both are steps of the same order.
     #[must_use]
     pub fn is_same_order(&self, other: &Self) -> bool {
-        self.made == other.made && self.target == other.target
+        self.created_revision == other.created_revision && self.target == other.target
     }
 
-    /// Whether this plan takes the place of `held`.
+    /// Whether this plan replaces `held`.
     #[must_use]
     pub fn supersedes(&self, held: &Self) -> bool {
         if self.is_same_order(held) {
             return self.stage > held.stage;
         }
-        (self.made, self.seen) > (held.made, held.seen)
+        (self.created_revision, self.target_revision) > (held.created_revision, held.target_revision)
     }
 }
--- a/crates/rollouts/src/windows.rs
+++ b/crates/rollouts/src/windows.rs
@@ -1,4 +1,4 @@
-//! What the two releases have answered lately, by route.
+//! Recent responses of the target and of the other releases, by route.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -7,17 +7,17 @@
 
 use crate::evidence::{ReleaseEvidence, RouteTally};
 
-/// Answers of one release on one route.
+/// Responses of one group of releases on one route.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(crate) struct Answers {
+pub(crate) struct ResponseCounts {
     pub(crate) good: u32,
     pub(crate) bad: u32,
-    /// Good answers of back ends that were not cold, and the sum of their times.
+    /// Successful responses of warm back ends, and the sum of their times.
     pub(crate) timed: u32,
     pub(crate) timed_millis: u64,
 }
 
-impl Answers {
+impl ResponseCounts {
     pub(crate) const fn count(self) -> u32 {
         self.good + self.bad
     }
@@ -29,7 +29,7 @@
         self.timed_millis += other.timed_millis;
     }
 
-    /// Mean time of a good answer in milliseconds; absent without any.
+    /// Mean time of a successful response of a warm back end, in milliseconds.
     pub(crate) fn mean_millis(self) -> Option<f64> {
         #[allow(clippy::cast_precision_loss, reason = "a sum of times of some seconds")]
         let sum = self.timed_millis as f64;
@@ -37,78 +37,85 @@
     }
 }
 
-/// Which of the two releases.
+/// The target release or all others.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub(crate) enum Side {
-    /// The one to which requests are moved.
+pub(crate) enum ReleaseGroup {
+    /// The release that requests are shifted to.
     Target,
-    /// All others.
+    /// All other releases.
     Others,
 }
 
-/// New answers since the last report of each node.
-pub(crate) type Arrived = BTreeMap<(u32, Side), Answers>;
+/// New responses, as the difference between successive reports, by route and group.
+pub(crate) type NewResponses = BTreeMap<(u32, ReleaseGroup), ResponseCounts>;
 
-/// Follows the reports of all nodes and keeps what is recent.
+/// Turns the cumulative reports of all nodes into recent response counts.
 #[derive(Debug)]
-pub(crate) struct AnswerWindows {
+pub(crate) struct ResponseWindows {
     length: Duration,
     reported: BTreeMap<NodeName, ReleaseEvidence>,
-    recent: VecDeque<(Instant, Arrived)>,
-    arrived: Arrived,
+    recent: VecDeque<(Instant, NewResponses)>,
+    new_responses: NewResponses,
 }
 
-impl AnswerWindows {
+impl ResponseWindows {
     pub(crate) const fn new(length: Duration) -> Self {
-        Self { length, reported: BTreeMap::new(), recent: VecDeque::new(), arrived: Arrived::new() }
+        Self {
+            length,
+            reported: BTreeMap::new(),
+            recent: VecDeque::new(),
+            new_responses: NewResponses::new(),
+        }
     }
 
-    /// Takes in a report; an older one than that held changes nothing.
-    pub(crate) fn on_evidence(&mut self, side: Side, evidence: ReleaseEvidence) {
+    /// Processes a report. Ignores a report that is older than the latest one of the node.
+    pub(crate) fn on_evidence(&mut self, group: ReleaseGroup, evidence: ReleaseEvidence) {
         let before = self.reported.get(&evidence.node);
-        let is_same_life = before.is_some_and(|before| before.instance == evidence.instance);
-        let is_later = before.is_none_or(|before| !is_same_life || before.number < evidence.number);
+        let is_same_process = before.is_some_and(|before| before.instance == evidence.instance);
+        let is_later = before.is_none_or(|before| !is_same_process || before.number < evidence.number);
         if !is_later {
             return;
         }
-        // The first report of a back end tells what came before the rollout, unless it belongs to the target.
-        let is_counted = is_same_life || side == Side::Target;
+        // The first report of a back end covers responses before the rollout, unless it belongs to the
+        // target.
+        let is_counted = is_same_process || group == ReleaseGroup::Target;
         if is_counted {
             for tally in &evidence.routes {
-                let known = before.filter(|_| is_same_life).and_then(|before| route_of(before, tally.route));
-                let answers = difference(*tally, known.unwrap_or_default(), evidence.is_cold);
-                self.arrived.entry((tally.route, side)).or_default().add(answers);
+                let known =
+                    before.filter(|_| is_same_process).and_then(|before| route_of(before, tally.route));
+                let responses = new_counts(*tally, known.unwrap_or_default(), evidence.is_cold);
+                self.new_responses.entry((tally.route, group)).or_default().add(responses);
             }
         }
         self.reported.insert(evidence.node.clone(), evidence);
     }
 
-    /// What has arrived since this was asked last; it counts as recent from `now` on.
-    pub(crate) fn take_arrived(&mut self, now: Instant) -> Arrived {
-        let arrived = std::mem::take(&mut self.arrived);
-        self.recent.push_back((now, arrived.clone()));
+    /// Returns the new responses since the last call; they count as recent from `now` on.
+    pub(crate) fn take_new_responses(&mut self, now: Instant) -> NewResponses {
+        let new_responses = std::mem::take(&mut self.new_responses);
+        self.recent.push_back((now, new_responses.clone()));
         let is_old = |at: Instant| now.saturating_duration_since(at) > self.length;
         while self.recent.front().is_some_and(|(at, _)| is_old(*at)) {
             self.recent.pop_front();
         }
-        arrived
+        new_responses
     }
 
-    /// Recent answers of one release by route.
-    pub(crate) fn recent(&self, side: Side) -> BTreeMap<u32, Answers> {
-        let mut sums: BTreeMap<u32, Answers> = BTreeMap::new();
-        for (_, arrived) in &self.recent {
-            for ((route, of), answers) in arrived {
-                if *of == side {
-                    sums.entry(*route).or_default().add(*answers);
+    /// Recent responses of one group by route.
+    pub(crate) fn recent(&self, group: ReleaseGroup) -> BTreeMap<u32, ResponseCounts> {
+        let mut totals: BTreeMap<u32, ResponseCounts> = BTreeMap::new();
+        for (_, new_responses) in &self.recent {
+            for ((route, of), responses) in new_responses {
+                if *of == group {
+                    totals.entry(*route).or_default().add(*responses);
                 }
             }
         }
-        sums
+        totals
     }
 
-    /// The last report of a node.
-    pub(crate) fn last_of(&self, node: &NodeName) -> Option<&ReleaseEvidence> {
+    /// The latest report of a node.
+    pub(crate) fn last_report(&self, node: &NodeName) -> Option<&ReleaseEvidence> {
         self.reported.get(node)
     }
 }
@@ -117,9 +124,9 @@
     evidence.routes.iter().find(|tally| tally.route == route).copied()
 }
 
-fn difference(tally: RouteTally, known: RouteTally, is_cold: bool) -> Answers {
+fn new_counts(tally: RouteTally, known: RouteTally, is_cold: bool) -> ResponseCounts {
     let good = tally.good.saturating_sub(known.good);
-    Answers {
+    ResponseCounts {
         good,
         bad: tally.bad.saturating_sub(known.bad),
         timed: if is_cold { 0 } else { good },
--- a/crates/rollouts/tests/rollouts.rs
+++ b/crates/rollouts/tests/rollouts.rs
@@ -1,11 +1,11 @@
-//! Rollouts of good and bad releases, and of orders that come to nothing.
+//! Rollouts of good and bad releases, withdrawn orders, coordinator changes and store outages.
 
 mod support;
 
 use std::time::Duration;
 
 use quickcheck::quickcheck;
-use support::{BURST, Behaviour, SOUND, World, name};
+use support::{Behaviour, FAILURE_BURST, SOUND, World, name};
 use umberpond_rollouts::{
     HeldPlans, PlanStage, RolloutCoordinator, RolloutPlan, RolloutSettings, RolloutState,
 };
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_good_release_gets_all_requests_with_room_to_its_end() {
+fn a_good_release_gets_all_requests_well_before_the_deadline() {
     let mut world = world_with_target();
     assert!(world.run_until(DURATION.mul_f64(0.75), |world| state(world) == Some(RolloutState::Complete)));
     world.step();
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn it_is_not_complete_while_a_request_runs_on_the_old_release() {
+fn a_rollout_is_not_complete_while_a_request_runs_on_the_old_release() {
     let mut world = world_with_target();
     world.set_in_flight("v1", 1);
     world.run_until(DURATION.mul_f64(0.85), |world| state(world) == Some(RolloutState::Complete));
@@ -42,7 +42,7 @@
     assert!(world.run_until(Duration::from_secs(1), |world| state(world) == Some(RolloutState::Complete)));
 }
 
-/// Runs a rollout of a bad release to its end, and gives the share of the requests of the whole time that it got.
+/// Runs a rollout of a bad release to its end and returns the fraction of all requests that it got.
 fn exposure(new: Behaviour, old: Behaviour) -> f64 {
     let mut world = world_with_target();
     world.new = new;
@@ -78,14 +78,14 @@
 }
 
 #[test]
-fn a_target_that_never_comes_is_reverted_before_the_end() {
+fn a_target_that_never_becomes_ready_is_reverted_before_the_deadline() {
     let mut world = World::new(DURATION, 1);
     assert!(world.run_until(DURATION, |world| state(world) == Some(RolloutState::Reverted)));
     assert_eq!(world.to_target, 0);
 }
 
 #[test]
-fn an_order_that_is_taken_back_leaves_the_target_nothing() {
+fn a_withdrawn_order_stops_requests_to_the_target() {
     let mut world = world_with_target();
     assert!(world.run_until(DURATION, |world| world.stage() == Some(PlanStage::Share(150))));
     world.store.rollout = None;
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn without_the_store_a_bad_release_still_gets_nothing_more() {
+fn a_bad_release_is_reverted_while_the_store_is_unavailable() {
     let mut world = world_with_target();
     assert!(world.run_until(DURATION, |world| world.stage() == Some(PlanStage::Share(50))));
     world.store.is_up = false;
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn another_coordinator_goes_on_where_the_first_one_died() {
+fn a_new_coordinator_continues_the_rollout_of_a_failed_one() {
     for steps in [1_u32, 10, 25, 30, 35, 40, 45] {
         let mut world = world_with_target();
         for _ in 0..steps {
@@ -126,7 +126,7 @@
 }
 
 #[test]
-fn two_coordinators_come_to_one_end() {
+fn two_coordinators_write_one_final_state() {
     for (new, end) in [
         (SOUND, RolloutState::Complete),
         (Behaviour { fails_every: 2, from_permille: 300, ..SOUND }, RolloutState::Reverted),
@@ -140,7 +140,7 @@
 }
 
 #[test]
-fn a_second_order_for_the_service_takes_the_place_of_the_first() {
+fn a_second_order_for_the_service_replaces_the_first() {
     let mut world = world_with_target();
     assert!(world.run_until(DURATION, |world| state(world) == Some(RolloutState::Complete)));
     world.add_nodes("v3", 10);
@@ -155,15 +155,17 @@
     assert_eq!(plan.target, name("v3"));
 }
 
-/// Found on an own day: with nothing to compare with, a burst in which calls were refused looked like a bad release.
+/// Guards against reverting a good release in a burst of refused calls after the last step, when the other
+/// releases no longer get requests to compare with.
 #[test]
 fn failures_of_a_burst_after_the_last_step_do_not_revert_a_good_release() {
     let mut world = world_with_target();
-    world.new = BURST;
+    world.new = FAILURE_BURST;
     assert!(world.run_until(DURATION, |world| state(world) == Some(RolloutState::Complete)));
 }
 
-/// Found on an own day: after power was lost everywhere both releases failed one answer in six for a moment.
+/// Guards against reverting a good release when all nodes restart after a power loss: for a moment both
+/// releases fail one response in six, and the new coordinator has nothing to compare with.
 #[test]
 fn failures_just_after_a_coordinator_has_started_do_not_revert_a_good_release() {
     let mut world = world_with_target();
@@ -179,9 +181,10 @@
     assert!(world.run_until(DURATION, |world| state(world) == Some(RolloutState::Complete)));
 }
 
-/// Found on an own day: the store was away from the order on, and its time was taken to begin when it came back.
+/// Guards against a late end when the store is unavailable from the order on: the coordinator took the return
+/// of the store as the start of the rollout.
 #[test]
-fn an_order_given_while_the_store_is_away_still_ends_in_time() {
+fn an_order_given_while_the_store_is_unavailable_finishes_in_time() {
     let mut world = world_with_target();
     world.ordered_at = world.now + Duration::from_secs(1);
     assert!(!world.run_until(Duration::from_millis(700), |world| world.stage().is_some()));
@@ -192,8 +195,15 @@
     assert!(world.run_until(left.mul_f64(0.85), |world| state(world) == Some(RolloutState::Complete)));
 }
 
-fn plan(made: u64, stage: PlanStage) -> RolloutPlan {
-    RolloutPlan { service: name("archive"), target: name("v2"), made, seen: made, elapsed_millis: 0, stage }
+fn plan(created_revision: u64, stage: PlanStage) -> RolloutPlan {
+    RolloutPlan {
+        service: name("archive"),
+        target: name("v2"),
+        created_revision,
+        target_revision: created_revision,
+        elapsed_millis: 0,
+        stage,
+    }
 }
 
 fn stage_of(number: u8) -> PlanStage {
@@ -206,18 +216,18 @@
 }
 
 quickcheck! {
-    /// Whatever order plans arrive in, and however often, all nodes end with the same.
-    fn nodes_agree_whatever_the_order(told: Vec<(u8, u8)>) -> bool {
+    /// Plans that arrive in any order and any number of times leave all nodes with the same plan.
+    fn nodes_agree_for_any_order_of_plans(received: Vec<(u8, u8)>) -> bool {
         let now = std::time::Instant::now();
         let plans: Vec<RolloutPlan> =
-            told.iter().map(|(made, number)| plan(u64::from(made % 3), stage_of(*number))).collect();
+            received.iter().map(|(order, number)| plan(u64::from(order % 3), stage_of(*number))).collect();
         let mut forwards = HeldPlans::default();
         let mut backwards = HeldPlans::default();
         for plan in &plans {
-            forwards.take_in(now, plan);
+            forwards.update(now, plan);
         }
         for plan in plans.iter().rev().chain(&plans) {
-            backwards.take_in(now, plan);
+            backwards.update(now, plan);
         }
         forwards.get(&name("archive")) == backwards.get(&name("archive"))
     }
--- a/crates/rollouts/tests/support/mod.rs
+++ b/crates/rollouts/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! A service of some back ends of two releases, whose nodes report to one or two coordinators; time passes in steps.
+//! Simulates a service with back ends of two releases, whose nodes report to one or two coordinators. Time
+//! advances in fixed steps.
 
 #![allow(dead_code, reason = "not every test uses every part")]
 
@@ -7,7 +8,7 @@
 
 use umberpond_model::{NodeName, ReleaseName, ServiceName};
 use umberpond_rollouts::{
-    AnswerTally, CoordinatorAction, EndpointCounts, HeldPlans, PlanStage, ReleaseEvidence,
+    CoordinatorAction, EndpointCounts, HeldPlans, PlanStage, ReleaseEvidence, ResponseTally,
     RolloutCoordinator, RolloutOrder, RolloutSettings, RolloutState, StoredRollout,
 };
 
@@ -19,30 +20,31 @@
 pub const ROUTE: u32 = 7;
 const SLOTS: u32 = 6;
 
-/// How back ends of one release answer.
+/// How back ends of one release respond.
 #[derive(Debug, Clone, Copy)]
 pub struct Behaviour {
-    /// Every so many answers one fails; 0 for none.
+    /// One of this many responses fails; 0 for none.
     pub fails_every: u32,
     pub millis: u64,
-    /// Thousandths of the requests from which on it behaves so; below, it behaves as [`SOUND`].
+    /// Minimum share of the target, in thousandths, for this behaviour; below it the release behaves as
+    /// [`SOUND`].
     pub from_permille: u16,
 }
 
-/// A burst in which every fifth answer fails, once all requests go to one release.
-pub const BURST: Behaviour = Behaviour { fails_every: 5, millis: 300, from_permille: 1_000 };
+/// A burst in which every fifth response fails, once all requests go to one release.
+pub const FAILURE_BURST: Behaviour = Behaviour { fails_every: 5, millis: 300, from_permille: 1_000 };
 
 pub const SOUND: Behaviour = Behaviour { fails_every: 0, millis: 200, from_permille: 0 };
 
 struct Node {
     name: NodeName,
     release: ReleaseName,
-    tally: AnswerTally,
-    answers: u32,
+    tally: ResponseTally,
+    responses: u32,
     in_flight: u32,
 }
 
-/// The store, as far as one rollout is concerned.
+/// A store that holds one rollout.
 pub struct Store {
     pub rollout: Option<StoredRollout>,
     pub is_up: bool,
@@ -72,11 +74,11 @@
     nodes: Vec<Node>,
     pub old: Behaviour,
     pub new: Behaviour,
-    /// Requests in one step, and those that have gone to the target and to all so far.
+    /// Requests in one step, and the requests so far to the target and to all releases.
     pub per_step: u32,
     pub to_target: u32,
     pub to_all: u32,
-    owed: f64,
+    target_credit: f64,
     reports: u64,
 }
 
@@ -94,7 +96,7 @@
             target,
             held: HeldPlans::default(),
             store: Store {
-                rollout: Some(StoredRollout { order, state: None, revision: 10, made: 10 }),
+                rollout: Some(StoredRollout { order, state: None, revision: 10, created_revision: 10 }),
                 is_up: true,
                 writes: Vec::new(),
             },
@@ -105,7 +107,7 @@
             per_step: 80,
             to_target: 0,
             to_all: 0,
-            owed: 0.0,
+            target_credit: 0.0,
             reports: 0,
         };
         for _ in 0..coordinators {
@@ -120,8 +122,8 @@
             self.nodes.push(Node {
                 name: name(&format!("node-{release}-{number}")),
                 release: name(release),
-                tally: AnswerTally::default(),
-                answers: 0,
+                tally: ResponseTally::default(),
+                responses: 0,
                 in_flight: 0,
             });
         }
@@ -131,16 +133,16 @@
         self.held.get(&self.service).map(|plan| plan.stage)
     }
 
-    /// Takes steps until `is_reached`, or for `longest`; tells whether it was reached.
-    pub fn run_until(&mut self, longest: Duration, is_reached: impl Fn(&Self) -> bool) -> bool {
+    /// Steps until `condition` holds, for at most `longest`. Returns whether it holds.
+    pub fn run_until(&mut self, longest: Duration, condition: impl Fn(&Self) -> bool) -> bool {
         let end = self.now + longest;
         while self.now < end {
-            if is_reached(self) {
+            if condition(self) {
                 return true;
             }
             self.step();
         }
-        is_reached(self)
+        condition(self)
     }
 
     pub fn step(&mut self) {
@@ -155,10 +157,10 @@
         let stage = self.stage().unwrap_or(PlanStage::Share(0));
         let permille = stage.target_permille();
         for request in 0..self.per_step {
-            self.owed += f64::from(permille) / 1000.0;
-            let is_target = self.owed >= 1.0;
+            self.target_credit += f64::from(permille) / 1000.0;
+            let is_target = self.target_credit >= 1.0;
             if is_target {
-                self.owed -= 1.0;
+                self.target_credit -= 1.0;
             }
             let release: ReleaseName = if is_target { self.target.clone() } else { name("v1") };
             let of_release: Vec<usize> =
@@ -173,13 +175,13 @@
                 behaviour = SOUND;
             }
             let node = &mut self.nodes[of_release[request as usize % of_release.len()]];
-            node.answers += 1;
-            let fails = behaviour.fails_every > 0 && node.answers.is_multiple_of(behaviour.fails_every);
+            node.responses += 1;
+            let fails = behaviour.fails_every > 0 && node.responses.is_multiple_of(behaviour.fails_every);
             node.tally.record(ROUTE, !fails, Duration::from_millis(behaviour.millis));
         }
     }
 
-    /// A request that the nodes of `release` do not finish, or nothing.
+    /// Sets the number of unfinished requests of each node of `release`.
     pub fn set_in_flight(&mut self, release: &str, in_flight: u32) {
         for node in &mut self.nodes {
             if node.release.as_str() == release {
@@ -209,18 +211,18 @@
             let is_ordered = self.now >= self.ordered_at;
             let stored = self.store.rollout.clone().into_iter().filter(|_| is_ordered).collect();
             let actions = coordinator.on_stored(self.now, &self.held, stored);
-            self.carry_out(&mut coordinator, actions);
+            self.execute_actions(&mut coordinator, actions);
         }
         let actions = coordinator.on_tick(self.now, &self.held, &endpoints);
-        self.carry_out(&mut coordinator, actions);
+        self.execute_actions(&mut coordinator, actions);
         self.coordinators[number] = coordinator;
     }
 
-    fn carry_out(&mut self, coordinator: &mut RolloutCoordinator, actions: Vec<CoordinatorAction>) {
+    fn execute_actions(&mut self, coordinator: &mut RolloutCoordinator, actions: Vec<CoordinatorAction>) {
         for action in actions {
             match action {
-                CoordinatorAction::Tell { plan, .. } => {
-                    self.held.take_in(self.now, &plan);
+                CoordinatorAction::Publish { plan, .. } => {
+                    self.held.update(self.now, &plan);
                 }
                 CoordinatorAction::Write { service, revision, state, .. } => {
                     if let Some(revision) = self.store.write(revision, state) {
