--- a/crates/daemon/src/rollouts/task.rs
+++ b/crates/daemon/src/rollouts/task.rs
@@ -259,8 +259,8 @@
     fn apply(&mut self, actions: Vec<CoordinatorAction>) {
         for action in actions {
             match action {
-                CoordinatorAction::Tell { plan, reason, verdict, answers } => {
-                    self.emit_decision(&plan, reason, verdict, answers);
+                CoordinatorAction::Publish { plan, reason, verdict, responses } => {
+                    self.emit_decision(&plan, reason, verdict, responses);
                     self.add_published(&plan);
                 }
                 CoordinatorAction::Write { service, target, revision, state } => {
