--- a/crates/quotas/src/lib.rs
+++ b/crates/quotas/src/lib.rs
@@ -1,26 +1,28 @@
-//! Keeps each tenant's quota over all nodes together, whatever is cut off, restarted or suspended.
+//! Enforces each tenant's quota across all nodes, including during network partitions, restarts and process
+//! suspensions.
 //!
-//! A request needs a token of its tenant. Tokens are earned by time, and every node earns an equal part of each second
-//! ([`EarnedTime`]). A node hands what it has earned on to one of a few nodes, its pools ([`TokenPool`]), and asks it for tokens of the tenants
-//! whose requests enter here ([`QuotaReport`], [`QuotaGrant`]). What was handed on is gone here, and what is lost on the way is lost: whoever is
-//! taken for a pool by whom, all nodes together earn one second a second, so that no tenant gets more than its rate and what was stored. A process
-//! that starts has earned nothing.
+//! Each request needs a token of its tenant. Tokens accrue over time, and every node accrues an equal share
+//! of each second ([`AccruedTime`]). A node reports its accrued time to one of a few nodes that act as pools
+//! ([`TokenPool`]), and requests tokens for the tenants whose requests arrive at it ([`QuotaReport`],
+//! [`QuotaGrant`]). Reported time is removed at the sender, and time lost in transit is lost for good.
+//! Whichever nodes act as pools for whom, all nodes together accrue one second per second, so no tenant gets
+//! more than its rate plus the stored tokens. A process starts without accrued time.
 //!
-//! Two ways to share stand behind [`QuotaSharing`]: [`PooledShares`], described above, and [`OwnShares`], in which each node keeps what it earns.
-//! The core has no I/O and reads no clock.
+//! [`QuotaSharing`] has two implementations: [`PooledShares`], described above, and [`LocalShares`], where each
+//! node keeps what it accrues. The crate performs no I/O and reads no clock.
 
-mod earned;
+mod accrued;
 mod held;
 mod limit;
+mod local;
 mod message;
-mod own;
 mod pool;
 mod pooled;
 mod sharing;
 
-pub use earned::EarnedTime;
+pub use accrued::AccruedTime;
+pub use local::LocalShares;
 pub use message::{QuotaGrant, QuotaReport, TokenCount, WantedTokens};
-pub use own::OwnShares;
 pub use pool::TokenPool;
 pub use pooled::PooledShares;
 pub use sharing::{MAX_TOKEN_WAIT, QuotaSharing, Quotas, TokenDecision, quotas_of};
--- a/crates/quotas/src/limit.rs
+++ b/crates/quotas/src/limit.rs
@@ -1,75 +1,78 @@
-//! Whether a tenant is at its limit, as one node sees it.
+//! Tracks whether a tenant is at its limit, as seen by one node.
 //!
-//! A tenant is at its limit once every pool in a row had too few tokens. Until a pool has enough its requests are refused at once; where many come,
-//! pools are asked ahead of them at intervals, so that what the tenant may have is there when they come.
+//! A tenant is at its limit once every pool in succession had too few tokens. Its requests are then refused
+//! immediately until a pool has enough. If many requests are expected, pools are probed at intervals, so that
+//! the tokens the tenant is entitled to are here when the requests arrive.
 
 use std::time::{Duration, Instant};
 
-/// How long requests are refused at once after all pools had too few tokens.
+/// How long requests are refused immediately after all pools had too few tokens.
 const EXHAUSTED_TIME: Duration = Duration::from_millis(100);
-/// The same where pools are asked ahead: two answers may be missing, or late.
+/// The same if pools are probed; two grants may be lost or late.
 const PROBED_EXHAUSTED_TIME: Duration = Duration::from_millis(250);
-/// Time after which a pool is asked again ahead of requests.
+/// Interval between two probes.
 const PROBE_INTERVAL: Duration = Duration::from_millis(50);
 
-/// What pools have answered lately.
+/// State derived from the latest grants.
 #[derive(Debug, Default)]
 pub(crate) struct LimitState {
-    /// Pools in a row that had too few.
+    /// Number of successive pools that had too few tokens.
     empty_pools: usize,
     exhausted_until: Option<Instant>,
-    /// When a pool is asked again though no request waits.
+    /// When the next probe is due.
     probe_at: Option<Instant>,
 }
 
-/// What a pool has answered, and what is known of the tenant.
+/// Result of a token request, with what is known of the tenant.
 #[derive(Debug, Clone, Copy)]
-pub(crate) struct PoolAnswer {
-    /// Whether it had as many tokens as were asked for.
+pub(crate) struct TokenResponse {
+    /// Whether the pool had all requested tokens.
     pub(crate) had_enough: bool,
-    /// Pools that are asked in turn.
+    /// Number of pools used in rotation.
     pub(crate) pools: usize,
-    /// Tokens that each pool earns on average while requests are refused at once.
-    pub(crate) earned_meanwhile: f64,
-    /// Requests that are expected here until a pool is asked again.
+    /// Mean number of tokens that each pool accrues while requests are refused immediately.
+    pub(crate) accrued_meanwhile: f64,
+    /// Requests expected at this node until the next probe.
     pub(crate) expected: u32,
 }
 
 impl LimitState {
-    /// Takes in the answer of a pool.
-    pub(crate) fn on_answer(&mut self, now: Instant, answer: PoolAnswer) {
-        if answer.had_enough {
+    /// Records the result of a token request.
+    pub(crate) fn on_response(&mut self, now: Instant, response: TokenResponse) {
+        if response.had_enough {
             *self = Self::default();
             return;
         }
         self.empty_pools += 1;
-        let pools = answer.pools.max(1);
+        let pools = response.pools.max(1);
         if self.empty_pools < pools {
             return;
         }
-        // Pools that earn several tokens meanwhile are empty only together. Of a small tenant one may be empty while others are not.
-        let is_one_enough = answer.earned_meanwhile >= 1.0;
-        self.empty_pools = if is_one_enough { pools - 1 } else { 0 };
-        let is_probed = is_one_enough && answer.expected > 0;
+        // Pools that accrue several tokens in that time run empty together. For a small tenant one pool may
+        // be empty while others aren't.
+        let run_empty_together = response.accrued_meanwhile >= 1.0;
+        self.empty_pools = if run_empty_together { pools - 1 } else { 0 };
+        let is_probed = run_empty_together && response.expected > 0;
         let time = if is_probed { PROBED_EXHAUSTED_TIME } else { EXHAUSTED_TIME };
         self.exhausted_until = Some(now + time);
         self.probe_at = is_probed.then(|| now + PROBE_INTERVAL);
     }
 
-    /// Time for which requests are refused at once.
+    /// Remaining time for which requests are refused immediately.
     pub(crate) fn exhausted_for(&self, now: Instant) -> Option<Duration> {
         let left = self.exhausted_until?.saturating_duration_since(now);
         (!left.is_zero()).then_some(left)
     }
 
-    /// Whether a pool is to be asked though no request waits.
+    /// Whether to send a token request although no request waits.
     pub(crate) fn is_probe_due(&self, now: Instant) -> bool {
         self.probe_at.is_some_and(|at| at <= now) && self.exhausted_for(now).is_some()
     }
 }
 
-/// Tokens that each of `pools` earns of a tenant of `rate` requests a second while requests are refused at once.
-pub(crate) fn earned_meanwhile(rate: f64, pools: usize) -> f64 {
+/// Tokens that each of `pools` accrues for a tenant with `rate` requests per second while requests are
+/// refused immediately.
+pub(crate) fn accrued_meanwhile(rate: f64, pools: usize) -> f64 {
     #[allow(clippy::cast_precision_loss, reason = "few")]
     let pools = pools.max(1) as f64;
     rate * EXHAUSTED_TIME.as_secs_f64() / pools
--- a/crates/quotas/src/own.rs
+++ b/crates/quotas/src/local.rs
@@ -1,4 +1,4 @@
-//! Sharing without exchange: each node keeps what it earns.
+//! Quota sharing without messages: each node keeps the time that it accrues.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -11,21 +11,21 @@
 
 /// Tokens of one tenant at this node.
 #[derive(Debug, Clone, Copy)]
-struct OwnTokens {
+struct LocalTokens {
     tokens: f64,
     counted_at: Instant,
 }
 
-/// Each node gives an equal part of each tenant's rate and burst to the requests that enter there. It costs nothing, and a tenant whose requests do
-/// not enter everywhere alike is refused some below its limit.
+/// Each node enforces an equal share of each tenant's rate and burst. This needs no messages, but a tenant
+/// whose requests don't arrive evenly at all nodes is refused some requests below its limit.
 #[derive(Debug, Default)]
-pub struct OwnShares {
+pub struct LocalShares {
     quotas: Quotas,
     sharing_nodes: Option<u32>,
-    tenants: HashMap<TenantId, OwnTokens>,
+    tenants: HashMap<TenantId, LocalTokens>,
 }
 
-impl QuotaSharing for OwnShares {
+impl QuotaSharing for LocalShares {
     fn set_quotas(&mut self, quotas: Quotas) {
         self.tenants.retain(|tenant, _| quotas.contains_key(tenant));
         self.quotas = quotas;
@@ -40,16 +40,16 @@
     fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision {
         let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { expires_at: now } };
         let Some(nodes) = self.sharing_nodes else { return TokenDecision::Refused };
-        let own = self.tenants.entry(tenant).or_insert(OwnTokens { tokens: 0.0, counted_at: now });
-        let passed = now.saturating_duration_since(own.counted_at).as_secs_f64();
-        own.counted_at = now;
+        let local = self.tenants.entry(tenant).or_insert(LocalTokens { tokens: 0.0, counted_at: now });
+        let passed = now.saturating_duration_since(local.counted_at).as_secs_f64();
+        local.counted_at = now;
         #[allow(clippy::cast_precision_loss, reason = "far below 2^52")]
         let most = (quota.burst as f64 / f64::from(nodes)).max(1.0);
-        own.tokens = (own.tokens + passed * quota.rate.as_f64() / f64::from(nodes)).min(most);
-        if own.tokens < 1.0 {
+        local.tokens = (local.tokens + passed * quota.rate.as_f64() / f64::from(nodes)).min(most);
+        if local.tokens < 1.0 {
             return TokenDecision::Refused;
         }
-        own.tokens -= 1.0;
+        local.tokens -= 1.0;
         TokenDecision::Granted { expires_at: now + TOKEN_LIFETIME }
     }
 
@@ -57,8 +57,8 @@
         if expires_at <= now {
             return;
         }
-        if let Some(own) = self.tenants.get_mut(&tenant) {
-            own.tokens += 1.0;
+        if let Some(local) = self.tenants.get_mut(&tenant) {
+            local.tokens += 1.0;
         }
     }
 
--- a/crates/quotas/src/message.rs
+++ b/crates/quotas/src/message.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another of tokens.
+//! Messages that nodes exchange about tokens.
 
 use bitcode::{Decode, Encode};
 use umberpond_model::TenantId;
@@ -8,43 +8,43 @@
 pub struct TokenCount {
     /// The tenant.
     pub tenant: TenantId,
-    /// How many.
+    /// Number of tokens.
     pub tokens: u32,
 }
 
-/// Tokens that a node asks for.
+/// Tokens that a node requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct WantedTokens {
     /// The tenant.
     pub tenant: TenantId,
-    /// For requests that wait.
+    /// Number for waiting requests.
     pub waiting: u32,
-    /// For those that are expected soon.
+    /// Number for requests expected soon.
     pub ahead: u32,
 }
 
-/// From a node to a pool.
+/// Report of a node to a pool.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaReport {
-    /// The process that sends it.
+    /// Identifies the sending process among all processes of all nodes.
     pub life: u64,
-    /// Count of the reports of this process.
+    /// Sequence number of the report within that process.
     pub number: u64,
-    /// Nanoseconds of the time of all nodes that the sender has earned, and hands on.
-    pub earned_nanos: u64,
-    /// Tokens that it has taken out of that time by itself.
+    /// Time that the sender accrued and hands to the pool, in nanoseconds of the time of all nodes.
+    pub accrued_nanos: u64,
+    /// Tokens that the sender spent out of that time itself.
     pub spent: Vec<TokenCount>,
-    /// Tokens that it was given, has not used and gives back.
+    /// Granted tokens that the sender returns unused.
     pub returned: Vec<TokenCount>,
-    /// Tokens that it asks for.
+    /// Requested tokens.
     pub wanted: Vec<WantedTokens>,
 }
 
-/// From a pool to a node.
+/// Reply of a pool to a report.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaGrant {
-    /// Number of the report that is answered.
+    /// Sequence number of the report that this replies to.
     pub number: u64,
-    /// Tokens given, for each tenant that was asked for, in the order of the question.
+    /// Granted tokens for each requested tenant, in the order of the request.
     pub granted: Vec<TokenCount>,
 }
--- a/crates/quotas/src/pooled.rs
+++ b/crates/quotas/src/pooled.rs
@@ -1,80 +1,83 @@
-//! Sharing by pools: what is earned is handed on, and tokens are asked for where requests enter.
+//! Quota sharing through pools: nodes hand over accrued time and request tokens where requests arrive.
 
 use std::collections::{BTreeMap, HashMap, VecDeque};
 use std::time::{Duration, Instant};
 
 use umberpond_model::TenantId;
 
-use crate::earned::EarnedTime;
+use crate::accrued::AccruedTime;
 use crate::held::{HeldTokens, TOKEN_LIFETIME};
-use crate::limit::{PoolAnswer, earned_meanwhile};
+use crate::limit::{TokenResponse, accrued_meanwhile};
 use crate::message::{QuotaGrant, QuotaReport, TokenCount, WantedTokens};
 use crate::sharing::{QuotaSharing, Quotas, TokenDecision};
 
-/// Time after which earned time is handed on with the next look: well below the time that is kept.
+/// Interval after which the next poll reports accrued time. It is well below the time that a node can store.
 const REPORT_INTERVAL: Duration = Duration::from_millis(140);
-/// Time without an answer after which the next pool is asked. The answer may still come.
-const ANSWER_TIME: Duration = Duration::from_millis(25);
-/// Most tenants in one report.
+/// Time without a grant after which the next pool is tried. The grant may still arrive.
+const GRANT_TIMEOUT: Duration = Duration::from_millis(25);
+/// Maximum number of tenants in the token requests of one report.
 const MAX_WANTED: usize = 128;
 
-/// Tokens are pooled at a few nodes, which all others ask.
+/// Quota sharing through a few nodes that act as token pools.
 #[derive(Debug)]
 pub struct PooledShares {
     life: u64,
     quotas: Quotas,
-    earned: EarnedTime,
+    accrued: AccruedTime,
     tenants: BTreeMap<TenantId, HeldTokens>,
     reports: u64,
     reported_at: Option<Instant>,
-    /// The reports that are not answered yet and whose tokens would still be good, the latest last.
-    open: VecDeque<OpenReport>,
-    /// Tokens that were given and not used.
+    /// Unanswered reports whose tokens would still be valid, latest last.
+    pending: VecDeque<PendingReport>,
+    /// Tokens that expired unused.
     expired: u64,
 }
 
-/// A report whose answer may still come.
+/// A report whose grant may still arrive.
 #[derive(Debug)]
-struct OpenReport {
+struct PendingReport {
     number: u64,
-    made_at: Instant,
-    /// What was asked for.
+    created_at: Instant,
+    /// The requested tokens.
     wanted: Vec<WantedTokens>,
 }
 
 impl PooledShares {
-    /// Nothing earned yet. `life` tells this process from all others.
+    /// Starts without accrued time. `life` identifies this process.
     #[must_use]
     pub fn new(life: u64) -> Self {
         Self {
             life,
             quotas: Quotas::new(),
-            earned: EarnedTime::default(),
+            accrued: AccruedTime::default(),
             tenants: BTreeMap::new(),
             reports: 0,
             reported_at: None,
-            open: VecDeque::new(),
+            pending: VecDeque::new(),
             expired: 0,
         }
     }
 
-    /// Whether a report is open and its answer may still come soon.
-    fn awaits_answer(&self, now: Instant) -> bool {
-        self.open.back().is_some_and(|open| now.saturating_duration_since(open.made_at) < ANSWER_TIME)
+    /// Whether the grant for the latest report is still expected soon.
+    fn awaits_grant(&self, now: Instant) -> bool {
+        self.pending
+            .back()
+            .is_some_and(|pending| now.saturating_duration_since(pending.created_at) < GRANT_TIMEOUT)
     }
 
-    /// Removes the report that `grant` answers. Absent if it was answered before, or made too long ago for its tokens to be good.
-    fn take_open(&mut self, now: Instant, grant: &QuotaGrant) -> Option<OpenReport> {
-        self.open.retain(|open| now.saturating_duration_since(open.made_at) < TOKEN_LIFETIME);
-        let index = self.open.iter().position(|open| open.number == grant.number)?;
-        self.open.remove(index)
+    /// Removes the report that `grant` replies to. Returns `None` if it was answered before or is so old that
+    /// its tokens have expired.
+    fn take_pending(&mut self, now: Instant, grant: &QuotaGrant) -> Option<PendingReport> {
+        self.pending.retain(|pending| now.saturating_duration_since(pending.created_at) < TOKEN_LIFETIME);
+        let index = self.pending.iter().position(|pending| pending.number == grant.number)?;
+        self.pending.remove(index)
     }
 
-    /// What is asked for: for requests that wait, and for those that will come of tenants at their limits.
+    /// Tokens to request: for waiting requests, and as probes for tenants at their limits.
     fn wanted(&self, now: Instant, waiting: &HashMap<TenantId, u32>) -> Vec<WantedTokens> {
         let waiting_of = |tenant| waiting.get(tenant).copied().unwrap_or(0);
         let wanted = self.tenants.iter().filter_map(|(tenant, held)| {
-            let ahead = held.tokens_ahead(now);
+            let ahead = held.tokens_to_prefetch(now);
             match waiting_of(tenant) {
                 0 if held.limit.is_probe_due(now) => {
                     Some(WantedTokens { tenant: *tenant, waiting: ahead.max(1), ahead: 0 })
@@ -86,17 +89,17 @@
         wanted.take(MAX_WANTED).collect()
     }
 
-    fn forget_expired(&mut self, now: Instant) {
+    fn collect_expired(&mut self, now: Instant) {
         let expired = self.tenants.values_mut().map(|held| u64::from(held.drop_expired(now)));
         self.expired += expired.sum::<u64>();
     }
 
-    /// What `hand_over` takes from each tenant's tokens, of those of which there is any.
-    fn counts(&mut self, hand_over: impl Fn(&mut HeldTokens) -> u32) -> Vec<TokenCount> {
+    /// Applies `take_tokens` to each tenant's tokens and returns the non-zero counts.
+    fn counts(&mut self, take_tokens: impl Fn(&mut HeldTokens) -> u32) -> Vec<TokenCount> {
         let counts = self
             .tenants
             .iter_mut()
-            .map(|(tenant, held)| TokenCount { tenant: *tenant, tokens: hand_over(held) });
+            .map(|(tenant, held)| TokenCount { tenant: *tenant, tokens: take_tokens(held) });
         counts.filter(|count| count.tokens > 0).collect()
     }
 
@@ -112,7 +115,7 @@
     }
 
     fn set_sharing_nodes(&mut self, now: Instant, count: usize) {
-        self.earned.set_sharing_nodes(now, count);
+        self.accrued.set_sharing_nodes(now, count);
     }
 
     fn on_request(&mut self, now: Instant, tenant: TenantId) {
@@ -124,13 +127,13 @@
     fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision {
         let expires_at = now + TOKEN_LIFETIME;
         let Some(quota) = self.quotas.get(&tenant) else { return TokenDecision::Granted { expires_at } };
-        self.earned.earn(now);
-        let earned = self.earned.kept().as_secs_f64() * quota.rate.as_f64();
+        self.accrued.accrue(now);
+        let accrued = self.accrued.stored().as_secs_f64() * quota.rate.as_f64();
         let held = self.tenants.entry(tenant).or_default();
-        if let Some(expires_at) = held.take_given(now) {
+        if let Some(expires_at) = held.take_granted(now) {
             return TokenDecision::Granted { expires_at };
         }
-        if held.take_earned(earned) {
+        if held.take_accrued(accrued) {
             return TokenDecision::Granted { expires_at };
         }
         if held.limit.exhausted_for(now).is_some() { TokenDecision::Refused } else { TokenDecision::Ask }
@@ -154,11 +157,11 @@
     }
 
     fn next_report(&mut self, now: Instant, waiting: &HashMap<TenantId, u32>) -> Option<QuotaReport> {
-        if self.quotas.is_empty() || self.awaits_answer(now) {
+        if self.quotas.is_empty() || self.awaits_grant(now) {
             return None;
         }
-        self.earned.earn(now);
-        self.forget_expired(now);
+        self.accrued.accrue(now);
+        self.collect_expired(now);
         let is_due = self.reported_at.is_none_or(|at| now.saturating_duration_since(at) >= REPORT_INTERVAL);
         let has_unused = self.tenants.values().any(|held| held.has_unused(now));
         let wanted = self.wanted(now, waiting);
@@ -168,30 +171,34 @@
         self.reports += 1;
         self.reported_at = Some(now);
         if !wanted.is_empty() {
-            self.open.push_back(OpenReport { number: self.reports, made_at: now, wanted: wanted.clone() });
+            self.pending.push_back(PendingReport {
+                number: self.reports,
+                created_at: now,
+                wanted: wanted.clone(),
+            });
         }
         Some(QuotaReport {
             life: self.life,
             number: self.reports,
-            spent: self.counts(HeldTokens::hand_over_spent),
-            returned: self.counts(|held| held.hand_over_unused(now)),
-            earned_nanos: u64::try_from(self.earned.hand_on().as_nanos()).unwrap_or(u64::MAX),
+            spent: self.counts(HeldTokens::take_spent),
+            returned: self.counts(|held| held.take_unused(now)),
+            accrued_nanos: u64::try_from(self.accrued.take_stored().as_nanos()).unwrap_or(u64::MAX),
             wanted,
         })
     }
 
     fn on_grant(&mut self, now: Instant, grant: &QuotaGrant, pools: usize) {
-        // An answer that comes a second time, or too late, gives nothing.
-        let Some(answered) = self.take_open(now, grant) else { return };
-        for wanted in &answered.wanted {
+        // A duplicate or late grant has no effect.
+        let Some(report) = self.take_pending(now, grant) else { return };
+        for wanted in &report.wanted {
             let granted = grant.granted.iter().find(|granted| granted.tenant == wanted.tenant);
             let tokens = granted.map_or(0, |granted| granted.tokens);
-            let earned_meanwhile = earned_meanwhile(self.rate_of(wanted.tenant), pools);
+            let accrued_meanwhile = accrued_meanwhile(self.rate_of(wanted.tenant), pools);
             let Some(held) = self.tenants.get_mut(&wanted.tenant) else { continue };
-            held.add(now, answered.made_at + TOKEN_LIFETIME, tokens);
-            let expected = held.tokens_ahead(now);
+            held.add(now, report.created_at + TOKEN_LIFETIME, tokens);
+            let expected = held.tokens_to_prefetch(now);
             let had_enough = tokens >= wanted.waiting;
-            held.limit.on_answer(now, PoolAnswer { had_enough, pools, earned_meanwhile, expected });
+            held.limit.on_response(now, TokenResponse { had_enough, pools, accrued_meanwhile, expected });
         }
     }
 }
--- a/crates/quotas/src/sharing.rs
+++ b/crates/quotas/src/sharing.rs
@@ -1,4 +1,4 @@
-//! The border behind which nodes share quotas.
+//! Interface of the quota-sharing implementations.
 
 use std::collections::HashMap;
 use std::fmt::Debug;
@@ -10,10 +10,10 @@
 
 use crate::message::{QuotaGrant, QuotaReport};
 
-/// Longest time that a request waits for a token: as long as an answer that is on its way may bring one.
+/// Longest time that a request waits for a token: as long as a pending grant may still bring one.
 pub const MAX_TOKEN_WAIT: Duration = Duration::from_millis(250);
 
-/// The quotas of one configuration; a tenant that is missing may send any number of requests.
+/// The quotas of one configuration. A tenant without an entry is unlimited.
 pub type Quotas = HashMap<TenantId, Quota>;
 
 /// The quotas of `tenants`.
@@ -22,46 +22,46 @@
     limited.collect()
 }
 
-/// What comes of asking for a token.
+/// Outcome of taking a token.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum TokenDecision {
     /// The request may be sent.
     Granted {
-        /// Until when the token may be given back.
+        /// Expiry of the token, until which it may be returned.
         expires_at: Instant,
     },
-    /// Others have to be asked; the answer to the report that follows may bring one.
+    /// A pool has to be asked first; its grant may bring a token.
     Ask,
-    /// There is none: the tenant is at its limit.
+    /// No token is available: the tenant is at its limit.
     Refused,
 }
 
-/// How the nodes share quotas, as one of them sees it.
+/// Shares quotas between the nodes, as seen by one of them.
 pub trait QuotaSharing: Debug + Send {
     /// Sets the quotas of the configuration in force.
     fn set_quotas(&mut self, quotas: Quotas);
 
-    /// Sets the number of nodes that share them, those included that can't be reached.
+    /// Sets the number of nodes that share the quotas, including unreachable ones.
     fn set_sharing_nodes(&mut self, now: Instant, count: usize);
 
-    /// Takes in that a request of `tenant` has come.
+    /// Records the arrival of a request of `tenant`.
     fn on_request(&mut self, now: Instant, tenant: TenantId);
 
     /// Takes a token for one request of `tenant`.
     fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision;
 
-    /// Takes a token back whose request has not run. After `expires_at` it is lost.
+    /// Returns the token of a request that has not run. The token is lost after `expires_at`.
     fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant);
 
-    /// Shortest time after which a token of a tenant can be expected that was refused one.
+    /// Shortest time after which a tenant that was refused can expect a token.
     fn next_token_in(&self, now: Instant, tenant: TenantId) -> Duration;
 
-    /// Tokens that were given and that nobody used, since the start.
+    /// Number of tokens that expired unused since the start.
     fn expired_tokens(&self) -> u64;
 
-    /// What to tell a pool now. `waiting` counts the requests that wait for a token.
+    /// The report to send to a pool now, if any. `waiting` counts the requests that wait for a token.
     fn next_report(&mut self, now: Instant, waiting: &HashMap<TenantId, u32>) -> Option<QuotaReport>;
 
-    /// Takes in the answer of a pool; `pools` are asked in turn.
+    /// Processes a grant; `pools` is the number of pools used in rotation.
     fn on_grant(&mut self, now: Instant, grant: &QuotaGrant, pools: usize);
 }
--- a/crates/quotas/tests/pool.rs
+++ b/crates/quotas/tests/pool.rs
@@ -1,4 +1,4 @@
-//! What a pool makes of reports.
+//! Processing of reports by a pool.
 
 mod support;
 
@@ -7,16 +7,16 @@
 use support::{number, tenant};
 use umberpond_quotas::{QuotaReport, TokenPool, WantedTokens, quotas_of};
 
-/// Processes that report to one pool while a datagram is on its way.
-const MANY: u64 = 6_000;
+/// Number of processes that report to one pool while a datagram is in transit.
+const PROCESSES: u64 = 6_000;
 
-fn report(life: u64, earned: Duration) -> QuotaReport {
+fn report(life: u64, accrued: Duration) -> QuotaReport {
     let wanted = WantedTokens { tenant: number("shop"), waiting: 100, ahead: 0 };
-    let earned_nanos = u64::try_from(earned.as_nanos()).expect("short");
+    let accrued_nanos = u64::try_from(accrued.as_nanos()).expect("short");
     QuotaReport {
         life,
         number: 1,
-        earned_nanos,
+        accrued_nanos,
         spent: Vec::new(),
         returned: Vec::new(),
         wanted: vec![wanted],
@@ -24,13 +24,13 @@
 }
 
 #[test]
-fn a_report_that_comes_twice_counts_once_however_many_others_come_between() {
+fn duplicate_report_is_ignored_after_many_other_reports() {
     let now = Instant::now();
     let mut pool = TokenPool::default();
     pool.set_quotas(quotas_of(&[tenant("shop", 100.0, 1_000)]));
     let first = report(1, Duration::from_millis(500));
     assert!(pool.on_report(now, &first).is_some());
-    for life in 2..MANY {
+    for life in 2..PROCESSES {
         assert!(pool.on_report(now, &report(life, Duration::ZERO)).is_some());
     }
     assert_eq!(pool.on_report(now, &first), None);
--- a/crates/quotas/tests/support/mod.rs
+++ b/crates/quotas/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Nodes that share quotas on a virtual clock, without sockets.
+//! Simulation of nodes that share quotas, on a virtual clock without sockets.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::HashMap;
@@ -9,13 +9,13 @@
 use umberpond_config::{KeyHash, Quota, Tenant};
 use umberpond_model::{HomeRegions, RequestRate, TenantId, TenantName};
 use umberpond_quotas::{
-    MAX_TOKEN_WAIT, OwnShares, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
+    LocalShares, MAX_TOKEN_WAIT, PooledShares, QuotaGrant, QuotaReport, QuotaSharing, Quotas, TokenDecision,
     TokenPool, quotas_of,
 };
 
-/// Time between two steps.
+/// Simulated time per step.
 pub const STEP: Duration = Duration::from_millis(5);
-/// Longest wait of a request for a token, without a network.
+/// Longest wait of a request for a token if no network is simulated.
 const SHORT_WAIT: Duration = Duration::from_millis(150);
 
 pub fn tenant(name: &str, rate: f64, burst: u64) -> Tenant {
@@ -38,28 +38,29 @@
     waiting: HashMap<TenantId, Vec<Instant>>,
     next_pool: usize,
     is_running: bool,
-    /// Whether something has come that lets the node report before its next look.
-    is_told: bool,
+    /// Whether an event lets the node report before its next poll.
+    has_event: bool,
 }
 
-/// What delays and loses datagrams between nodes, and how often a node looks whether a report is due.
+/// Delay and loss of datagrams between nodes, and the polling interval of the nodes.
 pub struct Network {
     random: ChaCha8Rng,
-    /// Part of the datagrams that is lost.
+    /// Fraction of the datagrams that is lost.
     pub loss: f64,
-    /// Part of the datagrams that meets a node without a processor.
+    /// Fraction of the datagrams that reach a node while its process is not scheduled.
     pub stalls: f64,
-    /// Steps between two looks of a node.
-    look_steps: u64,
+    /// Steps between two polls of a node.
+    poll_steps: u64,
 }
 
 impl Network {
-    /// Datagrams take 5 to 10 ms, those that meet a stalled node up to 100 ms; nodes look each 50 ms, as the daemon does.
+    /// Datagrams take 5 to 10 ms, or up to 100 ms if they reach a stalled node. Nodes poll every 50 ms, like
+    /// the daemon.
     pub fn new(seed: u64, loss: f64, stalls: f64) -> Self {
-        Self { random: ChaCha8Rng::seed_from_u64(seed), loss, stalls, look_steps: 10 }
+        Self { random: ChaCha8Rng::seed_from_u64(seed), loss, stalls, poll_steps: 10 }
     }
 
-    /// Steps that a datagram takes; absent if it is lost.
+    /// Number of steps that a datagram is in transit; absent if it is lost.
     fn steps(&mut self) -> Option<u32> {
         if self.random.random_bool(self.loss) {
             return None;
@@ -69,26 +70,26 @@
     }
 }
 
-/// A message on its way; it arrives with the next step, or when the network says.
+/// A message in transit.
 enum Message {
     Report { from: usize, to: usize, report: QuotaReport },
     Grant { to: usize, grant: QuotaGrant },
 }
 
-/// All nodes, those that are cut off from the others included.
+/// All nodes, including partitioned ones.
 pub struct Fleet {
     pub now: Instant,
     nodes: Vec<Node>,
     quotas: Quotas,
     pools: usize,
     is_pooled: bool,
-    lives: u64,
+    processes: u64,
     messages: Vec<(Instant, Message)>,
     network: Option<Network>,
     steps: u64,
-    /// Nodes that only reach one another.
-    pub cut: Vec<usize>,
-    /// When requests of each tenant were let through.
+    /// Nodes that are partitioned from all others but reach each other.
+    pub partitioned: Vec<usize>,
+    /// When requests of each tenant were admitted.
     pub granted: HashMap<TenantId, Vec<Instant>>,
     pub refused: HashMap<TenantId, u32>,
     pub reports: u64,
@@ -102,11 +103,11 @@
             quotas: quotas_of(tenants),
             pools,
             is_pooled,
-            lives: 0,
+            processes: 0,
             messages: Vec::new(),
             network: None,
             steps: 0,
-            cut: Vec::new(),
+            partitioned: Vec::new(),
             granted: HashMap::new(),
             refused: HashMap::new(),
             reports: 0,
@@ -119,17 +120,17 @@
     }
 
     fn new_node(&mut self, count: usize) -> Node {
-        self.lives += 1;
+        self.processes += 1;
         let mut sharing: Box<dyn QuotaSharing> = if self.is_pooled {
-            Box::new(PooledShares::new(self.lives))
+            Box::new(PooledShares::new(self.processes))
         } else {
-            Box::new(OwnShares::default())
+            Box::new(LocalShares::default())
         };
         sharing.set_quotas(self.quotas.clone());
         sharing.set_sharing_nodes(self.now, count);
         let mut pool = TokenPool::default();
         pool.set_quotas(self.quotas.clone());
-        Node { sharing, pool, waiting: HashMap::new(), next_pool: 0, is_running: true, is_told: false }
+        Node { sharing, pool, waiting: HashMap::new(), next_pool: 0, is_running: true, has_event: false }
     }
 
     /// Sends all datagrams through `network` from now on.
@@ -150,17 +151,17 @@
         self.nodes.len()
     }
 
-    /// Starts the process of a node anew.
+    /// Restarts the process of a node.
     pub fn restart(&mut self, index: usize) {
         self.nodes[index] = self.new_node(self.nodes.len());
     }
 
-    /// Suspends a node, or lets it go on.
+    /// Suspends or resumes a node.
     pub fn set_running(&mut self, index: usize, is_running: bool) {
         self.nodes[index].is_running = is_running;
     }
 
-    /// A request enters at a node.
+    /// Sends a request to a node.
     pub fn request(&mut self, index: usize, tenant: TenantId) {
         let (now, node) = (self.now, &mut self.nodes[index]);
         if !node.is_running {
@@ -172,12 +173,12 @@
             TokenDecision::Refused => *self.refused.entry(tenant).or_default() += 1,
             TokenDecision::Ask => {
                 node.waiting.entry(tenant).or_default().push(now);
-                node.is_told = true;
+                node.has_event = true;
             }
         }
     }
 
-    /// Lets one step of time pass: messages arrive, and those that wait are told.
+    /// Advances the time by one step: delivers messages, retries waiting requests and sends reports.
     pub fn step(&mut self) {
         self.now += STEP;
         self.steps += 1;
@@ -189,16 +190,16 @@
             self.deliver(message);
         }
         for index in 0..self.nodes.len() {
-            self.tell_waiting(index);
+            self.retry_waiting(index);
             self.report(index);
         }
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        self.cut.contains(&from) == self.cut.contains(&to)
+        self.partitioned.contains(&from) == self.partitioned.contains(&to)
     }
 
-    /// Sends a message; without a network it arrives with the next step.
+    /// Sends a message. Without a network it arrives with the next step.
     fn send(&mut self, message: Message) {
         let steps = self.network.as_mut().map_or(Some(1), Network::steps);
         if let Some(steps) = steps {
@@ -216,13 +217,13 @@
             }
             Message::Grant { to, grant } if self.nodes[to].is_running => {
                 self.nodes[to].sharing.on_grant(self.now, &grant, self.pools);
-                self.nodes[to].is_told = true;
+                self.nodes[to].has_event = true;
             }
             Message::Report { .. } | Message::Grant { .. } => {}
         }
     }
 
-    fn tell_waiting(&mut self, index: usize) {
+    fn retry_waiting(&mut self, index: usize) {
         let longest_wait = if self.network.is_some() { MAX_TOKEN_WAIT } else { SHORT_WAIT };
         let (now, node) = (self.now, &mut self.nodes[index]);
         if !node.is_running {
@@ -244,19 +245,20 @@
         node.waiting.retain(|_, waiting| !waiting.is_empty());
     }
 
-    /// Whether a node looks now for what to report: with a network only at intervals, and when a request waits or an answer has come.
-    fn looks(&mut self, index: usize) -> bool {
-        let is_told = std::mem::take(&mut self.nodes[index].is_told);
+    /// Whether a node polls for a report in this step: always without a network; otherwise at intervals, when
+    /// a request waits, and when a grant has arrived.
+    fn polls(&mut self, index: usize) -> bool {
+        let has_event = std::mem::take(&mut self.nodes[index].has_event);
         let Some(network) = &self.network else { return true };
-        is_told || (self.steps + index as u64).is_multiple_of(network.look_steps)
+        has_event || (self.steps + index as u64).is_multiple_of(network.poll_steps)
     }
 
-    /// Each side of a cut takes the first nodes that it reaches for its pools.
+    /// Sends a node's report. Each side of a partition uses the first nodes that it reaches as pools.
     fn report(&mut self, index: usize) {
-        if !self.nodes[index].is_running || !self.looks(index) {
+        if !self.nodes[index].is_running || !self.polls(index) {
             return;
         }
-        let places: Vec<usize> =
+        let reachable_pools: Vec<usize> =
             (0..self.nodes.len()).filter(|to| self.reaches(index, *to)).take(self.pools).collect();
         let node = &mut self.nodes[index];
         node.pool.look(self.now);
@@ -264,12 +266,12 @@
         let waiting = node.waiting.iter().map(|(tenant, waiting)| (*tenant, count(waiting))).collect();
         let Some(report) = node.sharing.next_report(self.now, &waiting) else { return };
         node.next_pool += 1;
-        let to = places[node.next_pool % places.len()];
+        let to = reachable_pools[node.next_pool % reachable_pools.len()];
         self.reports += 1;
         self.send(Message::Report { from: index, to, report });
     }
 
-    /// Most requests of a tenant that were let through within `window`.
+    /// Maximum number of requests of a tenant that were admitted within `window`.
     pub fn most_within(&self, tenant: TenantId, window: Duration) -> usize {
         let granted = self.granted.get(&tenant).map_or(&[][..], Vec::as_slice);
         let mut first = 0;
@@ -283,13 +285,13 @@
         most
     }
 
-    /// Requests of a tenant that were let through in the `window` from `start` on.
+    /// Number of requests of a tenant that were admitted in the `window` from `start`.
     pub fn granted_between(&self, tenant: TenantId, start: Instant, window: Duration) -> usize {
         let granted = self.granted.get(&tenant).map_or(&[][..], Vec::as_slice);
         granted.iter().filter(|at| **at >= start && **at < start + window).count()
     }
 
-    /// Tokens that nodes were given and that nobody used.
+    /// Number of granted tokens that expired unused.
     pub fn expired_tokens(&self) -> u64 {
         self.nodes.iter().map(|node| node.sharing.expired_tokens()).sum()
     }
--- a/crates/quotas/tests/owed.rs
+++ b/crates/quotas/tests/throughput.rs
@@ -1,4 +1,4 @@
-//! What tenants beyond their limits, and those below, get of what they may have.
+//! Throughput of tenants above and below their limits.
 
 mod support;
 
@@ -13,28 +13,28 @@
 const POOLS: usize = 8;
 const WINDOW: Duration = Duration::from_secs(5);
 /// Time from the start of the nodes to the first request.
-const START: Duration = Duration::from_secs(5);
-/// Windows that are measured before and after a limit is lowered.
+const STARTUP: Duration = Duration::from_secs(5);
+/// Number of windows measured before and after a limit is lowered.
 const WINDOWS: u32 = 3;
-/// Least part of its limit that a tenant beyond it gets in each window.
-const LEAST_SERVED: f64 = 0.97;
-/// By how much of the window's requests, and by how many besides, the limit may be missed.
+/// Minimum fraction of its limit that a tenant above it gets in each window.
+const MIN_SERVED_SHARE: f64 = 0.97;
+/// Permitted excess over the limit in a window: a fraction of the window's requests, plus an absolute number.
 const EXCESS: f64 = 0.1;
 const SLACK: f64 = 20.0;
-/// Requests a second of a hot tenant, in its limits.
-const TIMES: f64 = 4.0;
-/// A limit in a tenant's usual requests a second.
-const USUAL: f64 = 1.0 / 1.6;
+/// Request rate of a tenant above its limit, as a multiple of the limit.
+const OVERLOAD_FACTOR: f64 = 4.0;
+/// Request rate of a tenant below its limit, as a fraction of the limit.
+const USUAL_LOAD: f64 = 1.0 / 1.6;
 
-/// Part of the datagrams that is lost.
+/// Fraction of the datagrams that is lost.
 const LOSS: f64 = 0.002;
-/// The same on a network that loses more.
-const GREATER_LOSS: f64 = 0.005;
-/// Part of the datagrams that meets a node without a processor.
+/// Fraction of the datagrams that is lost on a worse network.
+const HIGH_LOSS: f64 = 0.005;
+/// Fraction of the datagrams that reach a node while its process is not scheduled.
 const STALLS: f64 = 0.2;
 const SEEDS: [u64; 3] = [0, 1, 2];
 
-/// A tenant of the load.
+/// A tenant that sends requests.
 struct Sender {
     name: String,
     limit: f64,
@@ -61,25 +61,30 @@
     }
 }
 
-/// Two tenants beyond their limits, and 82 below theirs.
+/// Two tenants above their limits, and 82 below theirs.
 fn senders() -> Vec<Sender> {
-    let hot = [Sender::new("large", 600.0, 600.0 * TIMES), Sender::new("small", 20.0, 20.0 * TIMES)];
+    let hot = [
+        Sender::new("large", 600.0, 600.0 * OVERLOAD_FACTOR),
+        Sender::new("small", 20.0, 20.0 * OVERLOAD_FACTOR),
+    ];
     let below = (0..82).map(|index| {
         let limit = 2.0 + f64::from(index) / 2.0;
-        Sender::new(format!("below-{index}"), limit, limit * USUAL)
+        Sender::new(format!("below-{index}"), limit, limit * USUAL_LOAD)
     });
     hot.into_iter().chain(below).collect()
 }
 
-/// What one run showed.
+/// Results of one simulation.
 #[derive(Debug)]
 struct Outcome {
-    /// Least part of its limit that a hot tenant got in a window, before its limit was lowered and after.
+    /// Minimum fraction of its limit that each tenant above it got in a window, before and after the limit
+    /// was lowered.
     served: [f64; 4],
-    /// Part of the requests of all others that was refused.
+    /// Fraction of the requests of all other tenants that was refused.
     refused_below: f64,
-    /// Most requests of a hot tenant in any window, in what is allowed.
-    most: f64,
+    /// Maximum number of requests of a tenant above its limit in any window, as a fraction of the permitted
+    /// number.
+    max_relative: f64,
 }
 
 fn run(seed: u64, network: Network) -> Outcome {
@@ -89,35 +94,39 @@
     let begin = fleet.now;
     fleet.set_network(network);
     let mut random = ChaCha8Rng::seed_from_u64(seed);
-    let mut play = |fleet: &mut Fleet, senders: &mut [Sender], time: Duration| {
+    let mut simulate = |fleet: &mut Fleet, senders: &mut [Sender], time: Duration| {
         for _ in 0..time.as_millis() / STEP.as_millis() {
             senders.iter_mut().for_each(|sender| sender.step(fleet, &mut random));
             fleet.step();
         }
     };
-    // A fleet that starts has earned nothing.
-    play(&mut fleet, &mut [], START);
-    play(&mut fleet, &mut senders, WINDOW);
+    // New nodes have accrued no tokens.
+    simulate(&mut fleet, &mut [], STARTUP);
+    simulate(&mut fleet, &mut senders, WINDOW);
     let mut served = Vec::new();
-    let mut most: f64 = 0.0;
+    let mut max_relative: f64 = 0.0;
     for lowered in [1.0, 0.4] {
         let start = fleet.now;
         senders[..2].iter_mut().for_each(|sender| sender.limit *= lowered);
         fleet.set_tenants(&tenants(&senders));
-        play(&mut fleet, &mut senders, WINDOW * WINDOWS);
+        simulate(&mut fleet, &mut senders, WINDOW * WINDOWS);
         for sender in &senders[..2] {
             let of_window = |window| {
                 let granted = fleet.granted_between(number(&sender.name), start + WINDOW * window, WINDOW);
                 granted as f64 / (sender.limit * WINDOW.as_secs_f64())
             };
             let parts: Vec<f64> = (0..WINDOWS).map(of_window).collect();
-            println!("{} of {}/s: served {parts:.3?} of its limit", sender.name, sender.limit);
+            println!(
+                "tenant {} with {}/s: granted {parts:.3?} of its limit in each window",
+                sender.name, sender.limit
+            );
             served.push(parts.into_iter().fold(f64::INFINITY, f64::min));
         }
         if lowered >= 1.0 {
             for sender in &senders[..2] {
                 let allowed = (sender.limit * WINDOW.as_secs_f64() + sender.limit) * (1.0 + EXCESS) + SLACK;
-                most = most.max(fleet.most_within(number(&sender.name), WINDOW) as f64 / allowed);
+                max_relative =
+                    max_relative.max(fleet.most_within(number(&sender.name), WINDOW) as f64 / allowed);
             }
         }
     }
@@ -126,43 +135,44 @@
         (granted + fleet.granted_of(tenant), refused + fleet.refused_of(tenant))
     });
     let outcome = Outcome {
-        served: served.try_into().expect("two tenants, twice"),
+        served: served.try_into().expect("two tenants with two measurements each"),
         refused_below: f64::from(refused) / (granted as f64 + f64::from(refused)),
-        most,
+        max_relative,
     };
     let reports = fleet.reports as f64 / NODES as f64 / (fleet.now - begin).as_secs_f64();
     let expired = fleet.expired_tokens();
-    println!("{outcome:.3?}, {reports:.1} reports a second, {expired} tokens expired");
+    println!("{outcome:.3?}, {reports:.1} reports per second and node, {expired} tokens expired");
     outcome
 }
 
 fn check(outcome: &Outcome) {
-    assert!(outcome.served.iter().all(|part| *part >= LEAST_SERVED), "{outcome:.3?}");
+    assert!(outcome.served.iter().all(|part| *part >= MIN_SERVED_SHARE), "{outcome:.3?}");
     assert!(outcome.refused_below < 0.001, "{outcome:.3?}");
-    assert!(outcome.most <= 1.0, "{outcome:.3?}");
+    assert!(outcome.max_relative <= 1.0, "{outcome:.3?}");
 }
 
 #[test]
-fn tenants_beyond_their_limits_get_them_and_those_below_are_refused_nothing() {
+fn tenants_get_their_limits_and_are_not_refused_below_them() {
     let outcomes = SEEDS.map(|seed| run(seed, Network::new(seed, LOSS, 0.0)));
     outcomes.iter().for_each(check);
 }
 
 #[test]
-fn tenants_get_their_limits_though_one_datagram_in_two_hundred_is_lost() {
-    let outcomes = SEEDS.map(|seed| run(seed, Network::new(seed, GREATER_LOSS, 0.0)));
+fn tenants_get_their_limits_despite_the_loss_of_one_datagram_in_two_hundred() {
+    let outcomes = SEEDS.map(|seed| run(seed, Network::new(seed, HIGH_LOSS, 0.0)));
     outcomes.iter().for_each(check);
 }
 
 #[test]
-fn answers_that_come_late_from_stalled_nodes_cost_no_tokens() {
+fn late_grants_from_stalled_nodes_lose_no_tokens() {
     let outcomes = SEEDS.map(|seed| run(seed, Network::new(seed, LOSS, STALLS)));
     outcomes.iter().for_each(check);
 }
 
-/// Tenants of 200 and of 1 a second, at pools that hear late, restart, are cut off and do not run at times.
+/// Guards against tokens created by failures: tenants with 200 and 1 requests per second use pools that get
+/// reports late, restart, are partitioned or are suspended.
 #[test]
-fn no_tenant_gets_more_than_its_limit_whatever_comes_late_or_starts_anew() {
+fn no_tenant_exceeds_its_limit_despite_delays_restarts_and_partitions() {
     let (count, pools) = (40, 4);
     let tenants = [tenant("hot", 200.0, 200), tenant("small", 1.0, 1)];
     for seed in 0..8 {
@@ -175,8 +185,8 @@
             if step % 100 == 0 {
                 match random.random_range(0..6) {
                     0 => (0..count).for_each(|index| fleet.restart(index)),
-                    1 => fleet.cut = (0..random.random_range(0..30)).collect(),
-                    2 => fleet.cut = (0..count).filter(|index| index % 2 == 0).collect(),
+                    1 => fleet.partitioned = (0..random.random_range(0..30)).collect(),
+                    2 => fleet.partitioned = (0..count).filter(|index| index % 2 == 0).collect(),
                     3 => fleet.set_running(random.random_range(0..count), false),
                     4 => (0..count).for_each(|index| fleet.set_running(index, true)),
                     _ => fleet.restart(random.random_range(0..pools)),
@@ -187,7 +197,11 @@
         for sender in &senders {
             let most = fleet.most_within(number(&sender.name), WINDOW) as f64;
             let allowed = (sender.limit * WINDOW.as_secs_f64() + sender.limit) * (1.0 + EXCESS) + SLACK;
-            assert!(most <= allowed, "seed {seed}, {}: {most} in a window, {allowed} allowed", sender.name);
+            assert!(
+                most <= allowed,
+                "seed {seed}, {}: {most} granted in a window, {allowed} allowed",
+                sender.name
+            );
         }
     }
 }
--- a/crates/quotas/tests/tokens.rs
+++ b/crates/quotas/tests/tokens.rs
@@ -1,4 +1,4 @@
-//! What becomes of tokens that are late, given back, or asked for ahead.
+//! Tokens that are late, returned, or requested in advance.
 
 mod support;
 
@@ -35,7 +35,7 @@
     QuotaGrant { number: report.number, granted: vec![TokenCount { tenant: number("hot"), tokens }] }
 }
 
-/// Takes all tokens that there are.
+/// Takes all available tokens.
 fn take_all(shares: &mut PooledShares, now: Instant) -> Vec<Instant> {
     let mut taken = Vec::new();
     while let TokenDecision::Granted { expires_at } = shares.take(now, number("hot")) {
@@ -44,19 +44,19 @@
     taken
 }
 
-/// A node asks once for a request that waits.
-fn ask(shares: &mut PooledShares, now: Instant) -> QuotaReport {
+/// Requests a token for one waiting request.
+fn send_report(shares: &mut PooledShares, now: Instant) -> QuotaReport {
     shares.on_request(now, number("hot"));
     assert_eq!(shares.take(now, number("hot")), TokenDecision::Ask);
     shares.next_report(now, &waiting(1)).expect("a request waits")
 }
 
 #[test]
-fn an_answer_that_comes_after_another_pool_was_asked_is_used_once() {
+fn late_grant_is_used_once_after_another_pool_was_asked() {
     let start = Instant::now();
     let mut shares = shares(start);
-    let first = ask(&mut shares, start);
-    let second = shares.next_report(start + millis(30), &waiting(1)).expect("the first pool is silent");
+    let first = send_report(&mut shares, start);
+    let second = shares.next_report(start + millis(30), &waiting(1)).expect("the first pool did not reply");
     assert_ne!(first.number, second.number);
     shares.on_grant(start + millis(90), &grant(&first, 3), POOLS);
     shares.on_grant(start + millis(91), &grant(&first, 3), POOLS);
@@ -64,22 +64,22 @@
     assert_eq!(taken, [start + TOKEN_LIFETIME; 3]);
 }
 
-/// However long an answer has waited at a process that did not run, its tokens end when they would have ended.
+/// Tokens expire at a fixed time, however long their grant was queued at a suspended process.
 #[test]
-fn an_answer_that_comes_after_the_end_of_its_tokens_gives_none() {
+fn grant_after_token_expiry_is_ignored() {
     let start = Instant::now();
     let mut shares = shares(start);
-    let report = ask(&mut shares, start);
+    let report = send_report(&mut shares, start);
     let now = start + TOKEN_LIFETIME;
     shares.on_grant(now, &grant(&report, 5), POOLS);
     assert_eq!(take_all(&mut shares, now), []);
 }
 
 #[test]
-fn a_token_is_given_back_until_its_end_and_lost_after_it() {
+fn token_can_be_returned_only_before_its_expiry() {
     let start = Instant::now();
     let mut shares = shares(start);
-    let report = ask(&mut shares, start);
+    let report = send_report(&mut shares, start);
     shares.on_grant(start + millis(5), &grant(&report, 2), POOLS);
     let taken = take_all(&mut shares, start + millis(6));
     shares.give_back(start + millis(40), number("hot"), taken[0]);
@@ -90,21 +90,22 @@
 }
 
 #[test]
-fn tokens_that_nobody_uses_go_back_before_their_end() {
+fn unused_tokens_are_returned_before_they_expire() {
     let start = Instant::now();
     let mut shares = shares(start);
-    let report = ask(&mut shares, start);
+    let report = send_report(&mut shares, start);
     shares.on_grant(start + millis(5), &grant(&report, 4), POOLS);
     assert!(matches!(shares.take(start + millis(6), number("hot")), TokenDecision::Granted { .. }));
-    let later = shares.next_report(start + millis(160), &HashMap::new()).expect("tokens are about to end");
+    let later = shares.next_report(start + millis(160), &HashMap::new()).expect("tokens are about to expire");
     assert_eq!(later.returned, [TokenCount { tenant: number("hot"), tokens: 3 }]);
     assert_eq!(take_all(&mut shares, start + millis(161)), []);
     assert_eq!(shares.expired_tokens(), 0);
 }
 
-/// A node asks for all that a pool has and gives it back, again and again, while the pool goes on earning.
+/// Guards against unlimited tokens from a node that repeatedly takes and returns all tokens of a pool while
+/// the pool keeps accruing.
 #[test]
-fn tokens_that_go_back_and_forth_do_not_add_up() {
+fn tokens_granted_and_returned_repeatedly_do_not_add_up() {
     let start = Instant::now();
     let mut pool = TokenPool::default();
     pool.set_quotas(quotas_of(&[tenant("hot", RATE, BURST)]));
@@ -117,21 +118,21 @@
         let report = QuotaReport {
             life: 1,
             number,
-            earned_nanos: 50_000_000,
+            accrued_nanos: 50_000_000,
             spent: Vec::new(),
             returned: vec![returned],
             wanted: vec![wanted],
         };
-        out = pool.on_report(now, &report).expect("an answer").granted[0].tokens;
+        out = pool.on_report(now, &report).expect("a grant").granted[0].tokens;
         most = most.max(out);
     }
     let allowed = BURST as f64 + RATE * TOKEN_LIFETIME.as_secs_f64();
-    assert!(f64::from(most) <= allowed, "{most} tokens out, {allowed} allowed");
+    assert!(f64::from(most) <= allowed, "{most} tokens granted, {allowed} allowed");
 }
 
-/// Four times a limit of 600 a second at each of 83 nodes is 29 a second at one.
+/// Four times a limit of 600 requests per second, spread over 83 nodes, is 29 per second at one node.
 #[test]
-fn a_tenant_far_beyond_its_limit_is_refused_at_once_while_tokens_are_asked_for_ahead() {
+fn tenant_far_above_its_limit_is_refused_immediately_while_pools_are_probed() {
     let start = Instant::now();
     let mut shares = shares(start);
     let mut now = start;
@@ -150,14 +151,14 @@
     assert_eq!(shares.take(now, number("hot")), TokenDecision::Refused);
     assert!(shares.next_token_in(now, number("hot")) > Duration::ZERO);
     now += millis(50);
-    let ahead = shares.next_report(now, &HashMap::new()).expect("more requests will come");
+    let ahead = shares.next_report(now, &HashMap::new()).expect("more requests are expected");
     assert!(ahead.wanted[0].waiting >= 2, "{ahead:?}");
     assert_eq!(shares.take(now, number("hot")), TokenDecision::Refused);
     shares.on_grant(now + millis(5), &grant(&ahead, 2), POOLS);
     assert_eq!(take_all(&mut shares, now + millis(6)).len(), 2);
 }
 
-/// Tokens that a pool gives when `backlog` reports come at once after it did not run for `pause`, over what it kept before.
+/// Tokens granted by a pool that was suspended for `pause` and then gets `backlog` reports at once.
 fn granted_after(pause: Duration, backlog: u64) -> u32 {
     let start = Instant::now();
     let mut pool = TokenPool::default();
@@ -165,7 +166,7 @@
     let report = |number: u64, wants: u32| QuotaReport {
         life: 1,
         number,
-        earned_nanos: 12_500_000,
+        accrued_nanos: 12_500_000,
         spent: Vec::new(),
         returned: Vec::new(),
         wanted: vec![WantedTokens { tenant: support::number("hot"), waiting: wants, ahead: 0 }],
@@ -181,12 +182,12 @@
         pool.on_report(resumed, &report(number, 0));
     }
     let last = report(21 + backlog, u32::MAX);
-    pool.on_report(resumed, &last).expect("an answer").granted[0].tokens
+    pool.on_report(resumed, &last).expect("a grant").granted[0].tokens
 }
 
 #[test]
-fn reports_that_waited_while_a_pool_did_not_run_add_nothing() {
+fn reports_queued_during_a_suspension_create_no_tokens() {
     let kept = granted_after(millis(0), 0);
     let granted = granted_after(Duration::from_secs(8), 40);
-    assert!(granted <= kept, "{granted} tokens, {kept} kept before");
+    assert!(granted <= kept, "{granted} tokens granted, {kept} stored before");
 }
