--- a/crates/scheduling/src/decision.rs
+++ b/crates/scheduling/src/decision.rs
@@ -1,73 +1,76 @@
-//! What a queue decides of the requests that it is offered.
+//! Admission decisions of a queue.
 
 use std::time::Duration;
 
 use thiserror::Error;
 
-/// Names one waiting request.
+/// Identifies a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Ticket(pub(crate) u64);
 
-/// Why a request is refused before it ran.
+/// Reason for refusing a request before it runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum Refusal {
-    /// The back end takes no new work.
-    #[error("the back end takes no new work")]
+    /// The back end accepts no new requests.
+    #[error("the back end accepts no new requests")]
     Closed,
-    /// The wait would be longer than the sender allows.
-    #[error("the wait would be too long")]
+    /// The expected wait exceeds the limit of the request.
+    #[error("the expected wait exceeds the limit")]
     WaitTooLong {
-        /// The wait expected.
+        /// Expected wait.
         expected: Duration,
     },
-    /// The back end is slow at this moment: the answer would be late, but need not be elsewhere.
-    #[error("the back end is slow at this moment")]
+    /// The back end is temporarily slow. The request would miss its objective here, but might meet it at
+    /// another back end.
+    #[error("the back end is temporarily slow")]
     BackEndSlow {
-        /// Time until the answer that was expected.
+        /// Expected time until the response.
         expected: Duration,
     },
-    /// Too many requests wait already.
-    #[error("too many requests wait already")]
+    /// The queue is full.
+    #[error("the queue is full")]
     QueueFull,
-    /// Its tenant is above its share of the slots, and a request of another tenant needed its place.
-    #[error("its tenant is above its share, and another one needed its place")]
+    /// The tenant exceeds its fair share of the slots, and the request was displaced by one of another
+    /// tenant.
+    #[error("the tenant exceeds its share, and another tenant needed the queue slot")]
     OverShare {
-        /// The wait that was still expected.
+        /// Expected remaining wait.
         expected: Duration,
     },
-    /// It has waited for as long as its sender lets it.
-    #[error("it has waited for as long as it may")]
+    /// The request waited past its queue deadline.
+    #[error("the request waited past its queue deadline")]
     QueueTimeout,
     /// The deadline passed while the request waited.
-    #[error("the deadline passed in the queue")]
+    #[error("the deadline passed while the request waited")]
     Expired,
 }
 
-/// What becomes of an offered request.
+/// Outcome of offering a request to a queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Decision {
-    /// It has a slot; the caller sends it now and reports its end.
+    /// The request got a slot. The caller sends it now and reports its completion.
     Start,
-    /// It waits under this ticket.
+    /// The request waits under this ticket.
     Wait(Ticket),
-    /// It is refused; it has not run.
+    /// The request is refused and has not run.
     Refuse(Refusal),
 }
 
-/// A waiting request that leaves the queue.
+/// A request that leaves the queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Dequeued {
-    /// It has a slot now.
+    /// The request got a slot.
     Run(Ticket),
-    /// Its deadline has passed; it has not run.
+    /// The request's deadline passed before it ran.
     Expire(Ticket),
 }
 
-/// A waiting request that has made room for one of a tenant less far above its share; it has not run.
+/// A waiting request that was evicted from a full queue in favor of a tenant that exceeds its share by less.
+/// It has not run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DisplacedRequest {
-    /// Its ticket.
+    /// Ticket of the request.
     pub ticket: Ticket,
-    /// The wait that was still expected.
+    /// Expected remaining wait at the time of eviction.
     pub expected: Duration,
 }
--- a/crates/scheduling/src/duplicates.rs
+++ b/crates/scheduling/src/duplicates.rs
@@ -1,59 +1,60 @@
-//! Remembers which requests were admitted, so that none that must not repeat is admitted twice.
+//! Detects duplicates of recently admitted requests, so that a request that must not be repeated is admitted
+//! only once.
 
 use std::collections::{HashSet, VecDeque};
 use std::time::{Duration, Instant};
 
-/// Longest time that a request is remembered: longer than any deadline of a caller.
+/// Retention time of an entry; longer than any caller's deadline.
 const WINDOW: Duration = Duration::from_secs(120);
-/// Most requests remembered; beyond it the oldest are forgotten first.
-const MAX_REMEMBERED: usize = 100_000;
+/// Maximum number of entries. The oldest are evicted first.
+const MAX_ENTRIES: usize = 100_000;
 
-/// Identifiers of the requests admitted lately.
+/// Identifiers of recently admitted requests.
 #[derive(Debug, Default)]
 pub struct DuplicateWindow {
-    known: HashSet<Box<[u8]>>,
+    admitted_ids: HashSet<Box<[u8]>>,
     order: VecDeque<(Instant, Box<[u8]>)>,
 }
 
 impl DuplicateWindow {
-    /// Takes in that the request called `id` is admitted; `false` if it was admitted before.
+    /// Records the admission of request `id`. Returns `false` if it was admitted before.
     pub fn admit(&mut self, now: Instant, id: &[u8]) -> bool {
-        self.forget_old(now);
-        if self.known.contains(id) {
+        self.evict_old_entries(now);
+        if self.admitted_ids.contains(id) {
             return false;
         }
         let id: Box<[u8]> = id.into();
-        self.known.insert(id.clone());
+        self.admitted_ids.insert(id.clone());
         self.order.push_back((now, id));
         true
     }
 
-    /// Takes in that the request called `id` was admitted but is now known not to have run and never will.
+    /// Removes request `id`, which was admitted but is known not to have run and never to run.
     pub fn withdraw(&mut self, id: &[u8]) {
-        self.known.remove(id);
+        self.admitted_ids.remove(id);
     }
 
-    /// Count of requests remembered.
+    /// Number of recorded requests.
     #[must_use]
     pub fn len(&self) -> usize {
-        self.known.len()
+        self.admitted_ids.len()
     }
 
-    /// Whether no request is remembered.
+    /// Whether no request is recorded.
     #[must_use]
     pub fn is_empty(&self) -> bool {
-        self.known.is_empty()
+        self.admitted_ids.is_empty()
     }
 
-    fn forget_old(&mut self, now: Instant) {
+    fn evict_old_entries(&mut self, now: Instant) {
         while let Some((admitted, _)) = self.order.front() {
-            let is_old =
-                now.saturating_duration_since(*admitted) > WINDOW || self.order.len() >= MAX_REMEMBERED;
-            if !is_old {
+            let is_evictable =
+                now.saturating_duration_since(*admitted) > WINDOW || self.order.len() >= MAX_ENTRIES;
+            if !is_evictable {
                 return;
             }
             if let Some((_, id)) = self.order.pop_front() {
-                self.known.remove(&id);
+                self.admitted_ids.remove(&id);
             }
         }
     }
--- a/crates/scheduling/src/fair_shares.rs
+++ b/crates/scheduling/src/fair_shares.rs
@@ -1,8 +1,9 @@
 //! Fair shares of a back end's slots between tenants.
 //!
-//! Start-time fair queueing over slot time: each tenant has a virtual start, the slot time it has taken while others waited.
-//! The virtual time follows what a tenant with exactly its share has taken. A tenant counts as above its share once it is
-//! more than a quantum ahead of that; all others are alike, so that the order by objectives holds among them.
+//! Start-time fair queueing over slot time. Each tenant has a virtual start time, which advances by the slot
+//! time it takes while others wait. The virtual time advances like that of a tenant that takes exactly its
+//! share. A tenant exceeds its share once it is more than a quantum ahead of the virtual time. All other
+//! tenants rank equally, so that requests are ordered by their objectives among them.
 
 use std::collections::BTreeMap;
 use std::time::{Duration, Instant};
@@ -11,47 +12,47 @@
 
 use crate::WorkItem;
 use crate::load::permille;
-use crate::place::{Place, PlaceClass};
+use crate::queue_key::{QueueClass, QueueKey};
 
-/// Time without a request after which nothing is kept of a tenant.
-const IDLE_LIFE: Duration = Duration::from_secs(5);
-/// Shortest time between two searches for tenants of which nothing need be kept.
+/// Time without a request after which a tenant's entry is dropped.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(5);
+/// Shortest interval between two scans for entries to drop.
 const PRUNE_INTERVAL: Duration = Duration::from_millis(100);
-/// Shortest quantum of slot time.
-const LEAST_QUANTUM: Duration = Duration::from_millis(1);
-/// Time after which the use that is told to operators is half forgotten.
+/// Minimum quantum of slot time.
+const MIN_QUANTUM: Duration = Duration::from_millis(1);
+/// Half-life of the use that is reported to operators.
 const USE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// How one tenant stands at one back end, for logs and metrics.
+/// Slot use and fair share of one tenant at one back end, for logs and metrics.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TenantUsage {
     /// The tenant.
     pub tenant: TenantId,
-    /// Its part of the slot time that tenants took lately while others waited, in thousandths.
+    /// Its fraction of the slot time that tenants recently took while others waited, in thousandths.
     pub use_permille: u16,
-    /// An equal part for each tenant that was active lately, in thousandths.
+    /// Equal share of each recently active tenant, in thousandths.
     pub share_permille: u16,
-    /// Slot time by which it is ahead of a tenant with exactly its share.
+    /// Slot time by which the tenant is ahead of its share.
     pub ahead: Duration,
-    /// Whether that is more than a quantum, so that others go first.
+    /// Whether it is more than a quantum ahead, so that other tenants are served first.
     pub is_over_share: bool,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct TenantUse {
+struct TenantAccount {
     virtual_start: Duration,
     waiting: u32,
-    /// Its requests that run and were charged with what they were expected to take.
+    /// Running requests that were charged their expected service time.
     running: u32,
-    /// What those were charged with.
+    /// Sum of the expected service times charged for the running requests.
     charged: Duration,
     active_at: Instant,
-    /// Seconds of slot time, each counted less with time.
+    /// Seconds of slot time, exponentially decayed.
     recent_seconds: f64,
     recent_at: Instant,
 }
 
-impl TenantUse {
+impl TenantAccount {
     fn new(now: Instant, virtual_start: Duration) -> Self {
         Self {
             virtual_start,
@@ -77,7 +78,7 @@
         self.recent_at = now;
     }
 
-    /// Puts what a run has held in place of what it was expected to take.
+    /// Replaces the expected service time of a finished request by its measured slot time.
     fn settle(&mut self, held: Duration) {
         if self.running == 0 {
             return;
@@ -93,39 +94,40 @@
         if self.waiting > 0 {
             return true;
         }
-        let is_idle = now.saturating_duration_since(self.active_at) >= IDLE_LIFE;
+        let is_idle = now.saturating_duration_since(self.active_at) >= IDLE_TIMEOUT;
         !is_idle && (self.running > 0 || self.virtual_start > virtual_time)
     }
 }
 
-/// What the tenants of one back end have taken since nobody had to wait last.
+/// Slot time taken by the tenants of one back end since a slot was last free with an empty queue.
 #[derive(Debug, Default)]
 pub(crate) struct FairShares {
-    tenants: BTreeMap<TenantId, TenantUse>,
+    tenants: BTreeMap<TenantId, TenantAccount>,
     virtual_time: Duration,
     advanced_at: Option<Instant>,
     pruned_at: Option<Instant>,
 }
 
 impl FairShares {
-    /// Whether there is nothing to divide: no tenant has waited of late.
+    /// Whether no tenant has waited recently, so that there is nothing to divide.
     pub(crate) fn is_unused(&self) -> bool {
         self.tenants.is_empty()
     }
 
-    /// Number of tenants of which something is kept.
+    /// Number of tenants with an entry.
     pub(crate) fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
-    /// Takes in that a slot was free and nobody waited: what was taken before was taken from nobody.
+    /// Drops all entries. Called when a slot is free and no request waits: slot time taken before was not
+    /// contended.
     pub(crate) fn clear(&mut self) {
         if !self.tenants.is_empty() {
             *self = Self::default();
         }
     }
 
-    /// Moves the virtual time on: each active tenant has at least an equal part of the `held` slots.
+    /// Advances the virtual time: each active tenant gets at least an equal part of the `held` slots.
     pub(crate) fn advance(&mut self, now: Instant, held: u32) {
         if self.tenants.is_empty() {
             self.advanced_at = None;
@@ -139,10 +141,10 @@
         self.prune(now);
     }
 
-    /// Takes in that a request of `tenant` waits.
+    /// Records that a request of `tenant` starts to wait.
     pub(crate) fn on_wait(&mut self, now: Instant, tenant: TenantId) {
         let virtual_time = self.virtual_time;
-        let entry = self.tenants.entry(tenant).or_insert_with(|| TenantUse::new(now, virtual_time));
+        let entry = self.tenants.entry(tenant).or_insert_with(|| TenantAccount::new(now, virtual_time));
         if entry.waiting == 0 {
             entry.virtual_start = entry.virtual_start.max(virtual_time);
         }
@@ -150,108 +152,110 @@
         entry.active_at = now;
     }
 
-    /// Takes in that a request of `tenant` waits no more.
+    /// Records that a request of `tenant` stops waiting.
     pub(crate) fn on_leave(&mut self, tenant: TenantId) {
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.waiting = entry.waiting.saturating_sub(1);
         }
     }
 
-    /// Takes in that a request of `tenant` that has waited starts and is expected to take `service`.
+    /// Records that a waiting request of `tenant` starts, and charges its expected service time `service`.
     pub(crate) fn on_start(&mut self, now: Instant, tenant: TenantId, service: Duration, quantum: Duration) {
-        // Nobody who is less far ahead waits, so less than a quantum is left of its lead.
+        // No waiting tenant has a smaller lead, so the virtual time skips forward until fewer than two quanta
+        // of this lead remain.
         let lead = self.lead(tenant, Duration::ZERO);
         let quanta = quanta(lead, quantum).saturating_sub(1);
-        self.virtual_time += quantum.max(LEAST_QUANTUM) * u32::try_from(quanta).unwrap_or(u32::MAX);
+        self.virtual_time += quantum.max(MIN_QUANTUM) * u32::try_from(quanta).unwrap_or(u32::MAX);
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.charge(now, service);
             entry.active_at = now;
         }
     }
 
-    /// Takes in that a request of `tenant` has left its slot after `held`.
+    /// Corrects the charge of `tenant` for a request that held its slot for `held`.
     pub(crate) fn settle(&mut self, tenant: TenantId, held: Duration) {
         if let Some(entry) = self.tenants.get_mut(&tenant) {
             entry.settle(held);
         }
     }
 
-    /// The first of `waiting`, which are of one class and in their usual order: of those least far ahead the first.
+    /// The request to serve first out of `waiting`, which has a single class and is in queue order: the first
+    /// one of the tenants with the smallest lead.
     pub(crate) fn first<'a>(
         &self,
-        waiting: impl Iterator<Item = (&'a Place, &'a WorkItem)>,
+        waiting: impl Iterator<Item = (&'a QueueKey, &'a WorkItem)>,
         quantum: Duration,
-    ) -> Option<(Place, WorkItem)> {
-        let mut first: Option<(u64, Place, WorkItem)> = None;
-        for (place, item) in waiting {
+    ) -> Option<(QueueKey, WorkItem)> {
+        let mut first: Option<(u64, QueueKey, WorkItem)> = None;
+        for (queue_key, item) in waiting {
             let ahead = self.quanta_ahead(item, Duration::ZERO, quantum);
             if ahead == 0 {
-                return Some((*place, *item));
+                return Some((*queue_key, *item));
             }
-            if first.is_none_or(|(least, ..)| ahead < least) {
-                first = Some((ahead, *place, *item));
+            if first.is_none_or(|(smallest, ..)| ahead < smallest) {
+                first = Some((ahead, *queue_key, *item));
             }
         }
-        first.map(|(_, place, item)| (place, item))
+        first.map(|(_, queue_key, item)| (queue_key, item))
     }
 
-    /// How all of `waiting`, which are in their usual order, and one more at `place` follow one another.
-    pub(crate) fn turns<'a>(
+    /// Service order of `waiting`, which is in queue order, and of `item` at `queue_key`.
+    pub(crate) fn service_order<'a>(
         &self,
-        waiting: impl Iterator<Item = (&'a Place, &'a WorkItem)>,
-        place: Place,
+        waiting: impl Iterator<Item = (&'a QueueKey, &'a WorkItem)>,
+        queue_key: QueueKey,
         item: &WorkItem,
         quantum: Duration,
-    ) -> WaitingTurns<'a> {
+    ) -> ServiceOrder<'a> {
         let mut before = BTreeMap::new();
         let mut own_before = Duration::ZERO;
         let mut others = Vec::new();
         for (other, waiting) in waiting {
             let Some(tenant) = waiting.tenant else {
-                others.push((Turn { class: other.class(), ahead: 0, place: *other }, waiting));
+                others.push((ServicePosition { class: other.class(), ahead: 0, queue_key: *other }, waiting));
                 continue;
             };
             let taken = before.entry(tenant).or_insert(Duration::ZERO);
             let ahead = self.quanta_ahead(waiting, *taken, quantum);
-            others.push((Turn { class: other.class(), ahead, place: *other }, waiting));
+            others.push((ServicePosition { class: other.class(), ahead, queue_key: *other }, waiting));
             *taken += waiting.service;
-            if *other < place && item.tenant == waiting.tenant {
+            if *other < queue_key && item.tenant == waiting.tenant {
                 own_before = *taken;
             }
         }
         let ahead = self.quanta_ahead(item, own_before, quantum);
-        WaitingTurns { own: Turn { class: place.class(), ahead, place }, others }
+        ServiceOrder { own: ServicePosition { class: queue_key.class(), ahead, queue_key }, others }
     }
 
-    /// Whether `item` goes behind others because its tenant is more than a quantum ahead of its share. The share of one that is alone is
-    /// everything.
+    /// Whether `item` yields to others because its tenant is more than a quantum ahead of its share. A tenant
+    /// on its own is entitled to all slots.
     pub(crate) fn is_over_share(&self, item: &WorkItem, quantum: Duration) -> bool {
         self.tenants.len() > 1 && self.quanta_ahead(item, Duration::ZERO, quantum) > 0
     }
 
-    /// How a tenant stands; absent if it has not waited of late.
-    pub(crate) fn standing(&self, now: Instant, tenant: TenantId, quantum: Duration) -> Option<TenantUsage> {
+    /// Usage of a tenant; absent if it has not waited recently.
+    pub(crate) fn usage(&self, now: Instant, tenant: TenantId, quantum: Duration) -> Option<TenantUsage> {
         let entry = self.tenants.get(&tenant)?;
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
-        Some(self.standing_of(now, tenant, entry, total, quantum))
+        Some(self.usage_of(now, tenant, entry, total, quantum))
     }
 
-    /// The `count` tenants that took most lately, the greatest first.
-    pub(crate) fn greatest(&self, now: Instant, count: usize, quantum: Duration) -> Vec<TenantUsage> {
+    /// The `count` tenants with the highest recent use, highest first.
+    pub(crate) fn top(&self, now: Instant, count: usize, quantum: Duration) -> Vec<TenantUsage> {
         let total: f64 = self.tenants.values().map(|entry| entry.recent_seconds(now)).sum();
         let tenants = self.tenants.iter();
-        let mut standings: Vec<TenantUsage> =
-            tenants.map(|(tenant, entry)| self.standing_of(now, *tenant, entry, total, quantum)).collect();
-        standings.sort_by_key(|standing| (std::cmp::Reverse(standing.use_permille), standing.tenant));
-        standings.truncate(count);
-        standings
+        let mut usages: Vec<TenantUsage> =
+            tenants.map(|(tenant, entry)| self.usage_of(now, *tenant, entry, total, quantum)).collect();
+        usages.sort_by_key(|usage| (std::cmp::Reverse(usage.use_permille), usage.tenant));
+        usages.truncate(count);
+        usages
     }
 
-    fn standing_of(
+    fn usage_of(
         &self,
         now: Instant,
         tenant: TenantId,
-        entry: &TenantUse,
+        entry: &TenantAccount,
         total: f64,
         quantum: Duration,
     ) -> TenantUsage {
@@ -272,8 +276,8 @@
         (start.max(self.virtual_time) + more).saturating_sub(self.virtual_time)
     }
 
-    /// Quanta by which the tenant of `item` is ahead once it has taken `more`. A call is charged but held back for no share: the run that
-    /// waits for it holds a slot elsewhere.
+    /// Lead of the tenant of `item` in quanta once it has taken `more`. A call is charged but never delayed
+    /// for fairness, because the run that waits for it holds a slot elsewhere.
     fn quanta_ahead(&self, item: &WorkItem, more: Duration, quantum: Duration) -> u64 {
         let tenant = item.tenant.filter(|_| !item.is_call());
         tenant.map_or(0, |tenant| quanta(self.lead(tenant, more), quantum))
@@ -290,37 +294,39 @@
     }
 }
 
-/// When a waiting request gets its slot, compared with others.
+/// Sort key of a waiting request in service order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-struct Turn {
-    class: PlaceClass,
-    /// Quanta by which its tenant will be ahead once those of it have run that go first.
+struct ServicePosition {
+    class: QueueClass,
+    /// Lead of the tenant in quanta once its earlier requests have run.
     ahead: u64,
-    place: Place,
+    queue_key: QueueKey,
 }
 
-/// The order in which one request and those that wait get slots.
-pub(crate) struct WaitingTurns<'a> {
-    own: Turn,
-    others: Vec<(Turn, &'a WorkItem)>,
+/// Service order of one request relative to the waiting ones.
+pub(crate) struct ServiceOrder<'a> {
+    own: ServicePosition,
+    others: Vec<(ServicePosition, &'a WorkItem)>,
 }
 
-impl WaitingTurns<'_> {
-    /// Time that those before the request take, and how many they are.
+impl ServiceOrder<'_> {
+    /// Total service time and number of the requests served before this one.
     pub(crate) fn ahead(&self) -> (Duration, usize) {
-        let before = self.others.iter().filter(|(turn, _)| *turn < self.own);
+        let before = self.others.iter().filter(|(position, _)| *position < self.own);
         before.fold((Duration::ZERO, 0), |(time, count), (_, item)| (time + item.service, count + 1))
     }
 
-    /// The request that has to make room for the one asked for: of those of tenants above their share the last one, if it goes later.
-    pub(crate) fn displaced(&self) -> Option<Place> {
-        let later = self.others.iter().map(|(turn, _)| turn);
-        let later = later.filter(|turn| turn.class >= self.own.class && turn.ahead > self.own.ahead);
-        later.max_by_key(|turn| (turn.ahead, turn.place)).map(|turn| turn.place)
+    /// The waiting request to evict for this one: the last one of the tenant furthest above its share, if it
+    /// would be served later.
+    pub(crate) fn displaced(&self) -> Option<QueueKey> {
+        let later = self.others.iter().map(|(position, _)| position);
+        let later =
+            later.filter(|position| position.class >= self.own.class && position.ahead > self.own.ahead);
+        later.max_by_key(|position| (position.ahead, position.queue_key)).map(|position| position.queue_key)
     }
 }
 
 fn quanta(lead: Duration, quantum: Duration) -> u64 {
-    let quanta = lead.as_nanos() / quantum.max(LEAST_QUANTUM).as_nanos();
+    let quanta = lead.as_nanos() / quantum.max(MIN_QUANTUM).as_nanos();
     u64::try_from(quanta).unwrap_or(u64::MAX)
 }
--- a/crates/scheduling/src/lib.rs
+++ b/crates/scheduling/src/lib.rs
@@ -1,26 +1,29 @@
 //! Decides which requests a back end gets, in which order, and which are refused.
 //!
-//! The node beside a back end is the only way to it, so this is the one authority on what runs. The core has no I/O
-//! and reads no clock: the present time is an argument.
+//! A *run* is the execution of one request by a back end. A *call* is a request that a run sends to another
+//! service and waits for; all other requests are *new* requests.
+//!
+//! All requests to a back end pass through the node beside it, so the queue of that node is authoritative for
+//! what runs. The crate performs no I/O and reads no clock: the current time is an argument.
 
 mod admitted_work;
+mod call_failure_estimator;
 mod call_level;
-mod call_outlook;
 mod cold_start_limiter;
 mod decision;
 mod duplicates;
 mod fair_shares;
-mod kept_slots;
 mod load;
-mod place;
 mod queue;
+mod queue_key;
+mod reserved_slots;
 mod service_time;
 mod slowdown;
 mod wait_bounds;
 mod work_item;
 
+pub use call_failure_estimator::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
 pub use call_level::CallLevel;
-pub use call_outlook::{CallFailureEstimator, CallOutcome, PendingRun, RunRefusal};
 pub use cold_start_limiter::ColdStartLimiter;
 pub use decision::{Decision, Dequeued, DisplacedRequest, Refusal, Ticket};
 pub use duplicates::DuplicateWindow;
--- a/crates/scheduling/src/place.rs
+++ b/crates/scheduling/src/queue_key.rs
@@ -1,15 +1,17 @@
-//! The order in which waiting requests get slots.
+//! Queue order of waiting requests.
 
 use std::time::Instant;
 
 use crate::{Ticket, WorkItem};
 
-/// Place in the queue: by priority; then calls of runs, whose slots are lost without them; then new requests that can still meet their objective,
-/// first tries before later ones; then those that can't, so that they don't make others late. Of each of these the most urgent goes first.
+/// Sort key of a waiting request: by priority; then calls, because the slots of the runs that wait for them
+/// are wasted if they fail; then new requests that can still meet their objective, first attempts before
+/// retries; last, new requests that can't, so that they don't delay others past their objectives. Within each
+/// of these groups the request with the earliest objective is first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct Place {
+pub(crate) struct QueueKey {
     pub(crate) priority: u8,
-    /// Whether no run waits for it.
+    /// Whether the request is not a call.
     pub(crate) is_new: bool,
     pub(crate) is_late: bool,
     pub(crate) is_caller_retry: bool,
@@ -17,19 +19,20 @@
     pub(crate) ticket: Ticket,
 }
 
-/// What goes before the shares of tenants: requests of different classes are ordered by class alone.
+/// The part of a sort key that takes precedence over the tenants' shares. Requests of different classes are
+/// ordered by class alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(crate) struct PlaceClass {
+pub(crate) struct QueueClass {
     priority: u8,
     is_new: bool,
     is_late: bool,
     is_caller_retry: bool,
 }
 
-impl Place {
-    /// Its class.
-    pub(crate) const fn class(&self) -> PlaceClass {
-        PlaceClass {
+impl QueueKey {
+    /// The class of the key.
+    pub(crate) const fn class(&self) -> QueueClass {
+        QueueClass {
             priority: self.priority,
             is_new: self.is_new,
             is_late: self.is_late,
@@ -37,7 +40,7 @@
         }
     }
 
-    /// The place of an item that can still meet its objective.
+    /// Sort key of a request that can still meet its objective.
     pub(crate) const fn of(item: &WorkItem, ticket: Ticket) -> Self {
         Self {
             priority: item.priority,
--- a/crates/scheduling/src/service_time.rs
+++ b/crates/scheduling/src/service_time.rs
@@ -1,13 +1,13 @@
-//! Mean of the time that a back end takes for a request.
+//! Moving average of a back end's service time.
 
 use std::time::Duration;
 
-/// Weight of one new sample.
+/// Weight of a new sample.
 const SAMPLE_WEIGHT: f64 = 0.05;
-/// Weight of a new sample while there are few, so that the first ones count.
+/// Number of samples below which the plain average is used, so that the first samples count equally.
 const EARLY_SAMPLES: u32 = 20;
 
-/// An exponentially weighted mean of service times.
+/// Exponentially weighted moving average of service times.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct ServiceTime {
     mean_micros: f64,
@@ -15,7 +15,7 @@
 }
 
 impl ServiceTime {
-    /// Takes in one sample.
+    /// Records a sample.
     pub fn record(&mut self, taken: Duration) {
         self.samples = self.samples.saturating_add(1);
         let weight = if self.samples < EARLY_SAMPLES { 1.0 / f64::from(self.samples) } else { SAMPLE_WEIGHT };
@@ -23,13 +23,13 @@
         self.mean_micros += (micros - self.mean_micros) * weight;
     }
 
-    /// The mean; absent without a sample.
+    /// The average; absent without a sample.
     #[must_use]
     pub fn mean(&self) -> Option<Duration> {
         (self.samples > 0).then(|| Duration::from_secs_f64(self.mean_micros / 1e6))
     }
 
-    /// The mean in microseconds; 0 without a sample.
+    /// The average in microseconds; 0 without a sample.
     #[must_use]
     #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
     pub fn mean_micros(&self) -> u32 {
--- a/crates/scheduling/src/slowdown.rs
+++ b/crates/scheduling/src/slowdown.rs
@@ -1,82 +1,87 @@
-//! How long work takes at a back end at this moment, by its own word.
+//! Current slowdown of a back end, as reported by itself.
 
 use std::time::{Duration, Instant};
 
 use thiserror::Error;
 
-/// Time for which a word counts. Spells of slowness last some hundreds of milliseconds, and a back end that gets no work tells nothing:
-/// without an end, a word told in a spell would keep work away for ever.
-const WORD_LIFETIME: Duration = Duration::from_millis(300);
-/// A back end at its usual speed, in hundredths of the usual time.
+/// Lifetime of a report. Slow phases last some hundreds of milliseconds, and a back end without requests
+/// sends no reports. Without expiry a report from a slow phase would keep requests away forever.
+const REPORT_LIFETIME: Duration = Duration::from_millis(300);
+/// Reported value of a back end at its usual speed, in hundredths of the usual service time.
 const USUAL_PERCENT: u16 = 100;
-/// Weight of one word in their mean: a spell has some tens of words and must not pass for the usual speed before it ends.
-const WORD_WEIGHT: f64 = 0.01;
-/// Smallest valid slowdown, in hundredths of the usual time.
-const LEAST_PERCENT: u16 = 10;
-/// Largest valid slowdown, in hundredths of the usual time.
-const MOST_PERCENT: u16 = 10_000;
+/// Weight of one report in the moving average. A slow phase spans some tens of reports and must not be taken
+/// for the usual speed before it ends.
+const REPORT_WEIGHT: f64 = 0.01;
+/// Smallest valid slowdown, in hundredths of the usual service time.
+const MIN_PERCENT: u16 = 10;
+/// Largest valid slowdown, in hundredths of the usual service time.
+const MAX_PERCENT: u16 = 10_000;
 
-/// A figure that can't be how long work takes.
+/// Reported slowdown outside the valid range.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("{percent} hundredths of the usual time is beyond {LEAST_PERCENT} to {MOST_PERCENT}")]
+#[error("slowdown of {percent} percent is outside the range {MIN_PERCENT} to {MAX_PERCENT}")]
 pub struct InvalidSlowdown {
-    /// The figure told, in hundredths of the usual time.
+    /// The reported value, in hundredths of the usual service time.
     pub percent: u16,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Word {
-    /// Hundredths of the time that work took there on average when this was told.
+struct Report {
+    /// Slowdown relative to the moving average at the time of the report, in hundredths.
     percent: u16,
-    told_at: Instant,
+    reported_at: Instant,
 }
 
-/// The last word of a back end on how long work takes there, relative to its words before: what is learnt of its times holds their mean.
+/// Latest slowdown reported by a back end, relative to the moving average of its reports. Measured service
+/// times already include that average.
 ///
-/// The last word counts in full: spells are as short as the time between a few words, so that any mean of them comes too late.
+/// The latest report isn't smoothed: a slow phase spans only a few reports, so any average would react too
+/// late.
 #[derive(Debug, Clone, Copy)]
 pub struct Slowdown {
-    word: Option<Word>,
-    /// Mean of the words, in hundredths of the usual time.
+    report: Option<Report>,
+    /// Moving average of the reports, in hundredths of the usual service time.
     mean_percent: f64,
 }
 
 impl Default for Slowdown {
     fn default() -> Self {
-        Self { word: None, mean_percent: f64::from(USUAL_PERCENT) }
+        Self { report: None, mean_percent: f64::from(USUAL_PERCENT) }
     }
 }
 
 impl Slowdown {
-    /// Takes in that work takes `percent` hundredths of the usual time there.
+    /// Records a report that requests take `percent` hundredths of the usual service time.
     ///
     /// # Errors
-    /// Returns [`InvalidSlowdown`] if that is beyond any sense; the word before it still counts.
+    /// Returns [`InvalidSlowdown`] if the value is outside the valid range; the previous report stays in
+    /// effect.
     pub fn on_word(&mut self, now: Instant, percent: u16) -> Result<(), InvalidSlowdown> {
-        if !(LEAST_PERCENT..=MOST_PERCENT).contains(&percent) {
+        if !(MIN_PERCENT..=MAX_PERCENT).contains(&percent) {
             return Err(InvalidSlowdown { percent });
         }
-        let told = f64::from(percent);
-        self.word = Some(Word { percent: relative_percent(told, self.mean_percent), told_at: now });
-        self.mean_percent += (told - self.mean_percent) * WORD_WEIGHT;
+        let reported = f64::from(percent);
+        self.report =
+            Some(Report { percent: relative_percent(reported, self.mean_percent), reported_at: now });
+        self.mean_percent += (reported - self.mean_percent) * REPORT_WEIGHT;
         Ok(())
     }
 
-    /// Hundredths of the time on average that work takes there now; absent without a word that still counts.
+    /// Current service time in hundredths of the average one; absent without an unexpired report.
     #[must_use]
     pub fn percent(&self, now: Instant) -> Option<u16> {
-        let word = self.word?;
-        let age = now.saturating_duration_since(word.told_at);
-        (age <= WORD_LIFETIME).then_some(word.percent)
+        let report = self.report?;
+        let age = now.saturating_duration_since(report.reported_at);
+        (age <= REPORT_LIFETIME).then_some(report.percent)
     }
 
-    /// Time that work takes there now as a multiple of that on average; 1 without a word that still counts.
+    /// Current service time as a multiple of the average one; 1 without an unexpired report.
     #[must_use]
     pub fn factor(&self, now: Instant) -> f64 {
         f64::from(self.percent(now).unwrap_or(USUAL_PERCENT)) / f64::from(USUAL_PERCENT)
     }
 
-    /// Time that work which ends `now` and has taken `taken` would have taken at the speed on average.
+    /// Normalizes the service time `taken` of a request that ends at `now` to the average speed.
     #[must_use]
     pub fn normalized_time(&self, now: Instant, taken: Duration) -> Duration {
         taken.div_f64(self.factor(now))
@@ -84,7 +89,7 @@
 }
 
 #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss)]
-fn relative_percent(told: f64, mean: f64) -> u16 {
-    let percent = (told / mean * f64::from(USUAL_PERCENT)).round();
-    percent.clamp(f64::from(LEAST_PERCENT), f64::from(MOST_PERCENT)) as u16
+fn relative_percent(reported: f64, mean: f64) -> u16 {
+    let percent = (reported / mean * f64::from(USUAL_PERCENT)).round();
+    percent.clamp(f64::from(MIN_PERCENT), f64::from(MAX_PERCENT)) as u16
 }
--- a/crates/scheduling/tests/duplicates.rs
+++ b/crates/scheduling/tests/duplicates.rs
@@ -1,11 +1,11 @@
-//! Which requests were admitted before.
+//! Detection of requests that were admitted before.
 
 use std::time::{Duration, Instant};
 
 use umberpond_scheduling::DuplicateWindow;
 
 #[test]
-fn a_request_is_admitted_once() {
+fn duplicate_request_is_not_admitted() {
     let now = Instant::now();
     let mut window = DuplicateWindow::default();
     assert!(window.admit(now, b"a"));
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn a_request_that_is_known_not_to_have_run_may_come_again() {
+fn withdrawn_request_is_admitted_again() {
     let now = Instant::now();
     let mut window = DuplicateWindow::default();
     assert!(window.admit(now, b"a"));
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn requests_are_forgotten_when_no_caller_waits_for_them_any_more() {
+fn entries_expire_once_no_caller_can_wait_for_them() {
     let now = Instant::now();
     let mut window = DuplicateWindow::default();
     for number in 0..1000_u32 {
--- a/crates/scheduling/tests/goodput.rs
+++ b/crates/scheduling/tests/goodput.rs
@@ -1,21 +1,21 @@
-//! Goodput, which is answers inside their objective a second, at one, two and three times the load that slots bear.
+//! Goodput, the rate of responses within their objective, at one, two and three times the capacity.
 
 mod replay;
 
 use replay::{CallKind, Kind, Load, Replay};
 
-/// A lookup on which a person waits.
+/// A lookup for which a person waits.
 const LOOKUP: Kind =
-    Kind { name: "lookup", service: 0, rank: 0, work: 140, objective: 400, deadline: 1_000, call: None };
+    Kind { name: "lookup", service: 0, priority: 0, work: 140, objective: 400, deadline: 1_000, call: None };
 /// An order at the same service.
 const ORDER: Kind =
-    Kind { name: "order", service: 0, rank: 1, work: 140, objective: 400, deadline: 1_000, call: None };
+    Kind { name: "order", service: 0, priority: 1, work: 140, objective: 400, deadline: 1_000, call: None };
 
 /// Slots of each service.
 const SLOTS: f64 = 32.0;
 
-/// Share of its goodput at the load that slots bear which a service keeps under overload.
-const KEPT_SHARE: f64 = 0.95;
+/// Fraction of its goodput at full load that a service keeps under overload.
+const MIN_GOODPUT_SHARE: f64 = 0.95;
 
 #[test]
 fn goodput_holds_under_overload_and_the_urgent_kind_is_served_first() {
@@ -29,24 +29,35 @@
     let base = measure(1.0);
     for load in [2.0, 3.0] {
         let over = measure(load);
-        assert!(over.goodput() >= KEPT_SHARE * base.goodput(), "{load} times: {over}, not {base}");
+        assert!(
+            over.goodput() >= MIN_GOODPUT_SHARE * base.goodput(),
+            "{load} times the load: {over}, base: {base}"
+        );
         let (lookup, order) = (over.served_share("lookup"), over.served_share("order"));
-        assert!(lookup >= order, "{load} times: {over}");
+        assert!(lookup >= order, "{load} times the load: {over}");
     }
 }
 
-/// A call that lookups make at another service, whose route names no rank.
+/// A call that lookups make to another service, whose route sets no priority.
 const CHECK: Kind =
-    Kind { name: "check", service: 1, rank: 9, work: 35, objective: 150, deadline: 400, call: None };
-/// As [`LOOKUP`], with calls.
+    Kind { name: "check", service: 1, priority: 9, work: 35, objective: 150, deadline: 400, call: None };
+/// A [`LOOKUP`] with calls.
 const CALLING_LOOKUP: Kind = Kind { call: Some(CallKind { kind: &CHECK, count: 2, share: 0.7 }), ..LOOKUP };
-/// What callers send to the called service.
-const PURCHASE: Kind =
-    Kind { name: "purchase", service: 1, rank: 1, work: 180, objective: 600, deadline: 1_500, call: None };
-/// Slots that the calls of one lookup take in the mean.
+/// A request that callers send to the called service.
+const PURCHASE: Kind = Kind {
+    name: "purchase",
+    service: 1,
+    priority: 1,
+    work: 180,
+    objective: 600,
+    deadline: 1_500,
+    call: None,
+};
+/// Mean slot time in seconds taken by the calls of one lookup.
 const CALL_SLOTS: f64 = 0.7 * 2.0 * 0.035;
 
-/// Lookups, and purchases at the service that they call. At load 1 both services bear what comes.
+/// Lookups, and purchases at the service that the lookups call. Both services have sufficient capacity at
+/// load 1.
 fn chain(load: f64, slots: [u32; 2], lookups: f64) -> Replay {
     let purchases = (f64::from(slots[1]) - lookups * CALL_SLOTS).max(0.0) / 0.180;
     let loads = [
@@ -64,9 +75,12 @@
     let base = measure(1.0);
     for load in [2.0, 3.0] {
         let over = measure(load);
-        assert!(over.goodput() >= KEPT_SHARE * base.goodput(), "{load} times: {over}, not {base}");
+        assert!(
+            over.goodput() >= MIN_GOODPUT_SHARE * base.goodput(),
+            "{load} times the load: {over}, base: {base}"
+        );
         let (lookup, purchase) = (over.served_share("lookup"), over.served_share("purchase"));
-        assert!(lookup >= purchase, "the more urgent kind comes by calls, {load} times: {over}");
+        assert!(lookup >= purchase, "calls inherit the higher priority, {load} times: {over}");
     }
 }
 
@@ -76,7 +90,10 @@
     let base = measure(1.0);
     for load in [2.0, 3.0] {
         let over = measure(load);
-        assert!(over.goodput() >= KEPT_SHARE * base.goodput(), "{load} times: {over}, not {base}");
+        assert!(
+            over.goodput() >= MIN_GOODPUT_SHARE * base.goodput(),
+            "{load} times the load: {over}, base: {base}"
+        );
     }
 }
 
@@ -86,15 +103,19 @@
     let base = measure(1.0);
     for load in [2.0, 3.0] {
         let over = measure(load);
-        assert!(over.goodput() >= KEPT_SHARE * base.goodput(), "{load} times: {over}, not {base}");
+        assert!(
+            over.goodput() >= MIN_GOODPUT_SHARE * base.goodput(),
+            "{load} times the load: {over}, base: {base}"
+        );
     }
 }
 
-/// As [`CALLING_LOOKUP`], of which each makes its calls.
+/// A [`CALLING_LOOKUP`] that always makes its calls.
 const ALWAYS_CALLING_LOOKUP: Kind =
     Kind { call: Some(CallKind { kind: &CHECK, count: 2, share: 1.0 }), ..LOOKUP };
 
-/// Lookups whose calls fill the called service, and orders that need only the slots that lookups take too.
+/// Lookups whose calls saturate the called service, and orders that use only the slots of the calling
+/// service.
 fn shared(load: f64) -> Replay {
     let loads = [
         Load { kind: &ALWAYS_CALLING_LOOKUP, per_second: load * 105.0 },
@@ -110,7 +131,7 @@
     for load in [1.0, 2.0, 3.0] {
         let replay = shared(load);
         let (lookup, order) = (replay.served_share("lookup"), replay.served_share("order"));
-        assert!(lookup >= order, "{load} times: {replay}");
+        assert!(lookup >= order, "{load} times the load: {replay}");
     }
 }
 
@@ -119,6 +140,9 @@
     let base = shared(1.0);
     for load in [2.0, 3.0] {
         let over = shared(load);
-        assert!(over.goodput() >= KEPT_SHARE * base.goodput(), "{load} times: {over}, not {base}");
+        assert!(
+            over.goodput() >= MIN_GOODPUT_SHARE * base.goodput(),
+            "{load} times the load: {over}, base: {base}"
+        );
     }
 }
--- a/crates/scheduling/tests/ranks.rs
+++ b/crates/scheduling/tests/priorities.rs
@@ -1,4 +1,4 @@
-//! A more urgent kind of request is served no worse than a less urgent one of the same service.
+//! Requests of a higher priority are served no worse than those of a lower priority at the same service.
 
 use std::time::{Duration, Instant};
 
@@ -8,7 +8,7 @@
     Duration::from_millis(millis)
 }
 
-/// An order, which leaves time to wait.
+/// An order, which has time to wait.
 fn order(now: Instant) -> WorkItem {
     WorkItem {
         priority: 1,
@@ -23,12 +23,12 @@
     }
 }
 
-/// A lookup, which takes so long by itself that its sender has no patience left.
+/// A lookup whose own service time leaves it no time to wait.
 fn lookup(now: Instant) -> WorkItem {
     WorkItem { priority: 0, max_queue_wait: Duration::ZERO, service: millis(270), ..order(now) }
 }
 
-/// A queue before two slots, which orders have taken.
+/// A queue with two slots, both taken by orders.
 fn queue_with_orders(now: Instant) -> WorkQueue {
     let mut queue = WorkQueue::new();
     queue.set_slots(2);
@@ -39,17 +39,19 @@
     queue
 }
 
-/// Lookups of rank 0 took 270 ms with their calls, of an objective of 400 ms, and orders of rank 1 took 140 ms at the same back ends. Two of 3,317 lookups were answered in
-/// time and 7,272 of 9,297 orders: whoever was expected beyond about a half of its objective was refused unless a slot was free, and orders waited for each slot.
+/// Guards against priority inversion by long requests. Lookups of priority 0 took 270 ms with their calls, of
+/// an objective of 400 ms; orders of priority 1 took 140 ms at the same back ends. Requests expected to end
+/// after about half of their objective were refused unless a slot was free, and orders waited for each slot,
+/// so that 2 of 3,317 lookups were answered in time and 7,272 of 9,297 orders.
 #[test]
-fn a_request_is_not_refused_while_less_urgent_ones_are_admitted() {
+fn long_request_is_not_refused_while_less_urgent_ones_are_admitted() {
     let now = Instant::now();
     let mut queue = queue_with_orders(now);
     assert!(matches!(queue.offer(now, lookup(now)), Decision::Wait(_)));
 }
 
 #[test]
-fn it_is_refused_where_it_would_be_late_all_the_same_or_less_urgent_ones_were_admitted_long_ago() {
+fn long_request_is_refused_if_late_anyway_or_if_less_urgent_ones_were_not_admitted_recently() {
     let now = Instant::now();
     let mut queue = queue_with_orders(now);
     let late = WorkItem { service: millis(390), ..lookup(now) };
@@ -61,9 +63,10 @@
     assert!(matches!(queue.offer(now, equal), Decision::Refuse(Refusal::WaitTooLong { .. })));
 }
 
-/// Browsing of rank 2 has 250 ms and payments of rank 1 have 400 ms, at the same back ends. Those with less time left go first within a rank only.
+/// Requests with less time left overtake others only within a priority. Browsing of priority 2 has an
+/// objective of 250 ms, payments of priority 1 one of 400 ms, at the same back ends.
 #[test]
-fn the_wait_expected_of_an_urgent_request_does_not_reckon_with_less_urgent_ones_that_come_later() {
+fn expected_wait_excludes_later_requests_of_lower_priority() {
     let now = Instant::now();
     let browsing = |now| WorkItem { priority: 2, objective_at: now + millis(250), ..order(now) };
     let mut queue = queue_with_orders(now);
--- a/crates/scheduling/tests/queue.rs
+++ b/crates/scheduling/tests/queue.rs
@@ -1,4 +1,4 @@
-//! The queue before a back end.
+//! Admission queue of a back end.
 
 use std::time::{Duration, Instant};
 
@@ -30,18 +30,18 @@
     queue
 }
 
-fn waits(decision: Decision) -> Ticket {
+fn expect_wait(decision: Decision) -> Ticket {
     let Decision::Wait(ticket) = decision else { panic!("{decision:?}") };
     ticket
 }
 
 #[test]
-fn slots_are_given_until_there_are_none_and_again_when_one_is_free() {
+fn requests_wait_without_a_free_slot_and_start_once_one_is_released() {
     let now = Instant::now();
     let mut queue = open_queue(2);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let third = waits(queue.offer(now, item(now, 1, 500)));
+    let third = expect_wait(queue.offer(now, item(now, 1, 500)));
     assert_eq!(queue.start_next(now), None);
     queue.finish(Some(millis(20)));
     assert_eq!(queue.start_next(now), Some(Dequeued::Run(third)));
@@ -49,32 +49,32 @@
 }
 
 #[test]
-fn the_more_urgent_kind_goes_first_then_the_one_whose_objective_ends_first() {
+fn requests_start_by_priority_then_by_objective() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let low = waits(queue.offer(now, item(now, 2, 300)));
-    let late = waits(queue.offer(now, item(now, 1, 900)));
-    let soon = waits(queue.offer(now, item(now, 1, 400)));
+    let low = expect_wait(queue.offer(now, item(now, 2, 300)));
+    let late = expect_wait(queue.offer(now, item(now, 1, 900)));
+    let soon = expect_wait(queue.offer(now, item(now, 1, 400)));
     let mut order = Vec::new();
     for _ in 0..3 {
         queue.finish(Some(millis(10)));
-        let Some(Dequeued::Run(ticket)) = queue.start_next(now) else { panic!("nothing waits") };
+        let Some(Dequeued::Run(ticket)) = queue.start_next(now) else { panic!("no request waits") };
         order.push(ticket);
     }
     assert_eq!(order, [soon, late, low]);
 }
 
 #[test]
-fn a_request_that_can_no_longer_meet_its_objective_lets_those_pass_that_can() {
+fn request_past_its_objective_yields_to_requests_in_time() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     queue.finish(Some(millis(100)));
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     let slow = |objective| WorkItem { service: millis(100), ..item(now, 1, objective) };
-    let hopeless = waits(queue.offer(now, slow(150)));
-    let in_time = waits(queue.offer(now, slow(800)));
+    let hopeless = expect_wait(queue.offer(now, slow(150)));
+    let in_time = expect_wait(queue.offer(now, slow(800)));
     let later = now + millis(120);
     queue.finish(Some(millis(100)));
     assert_eq!(queue.start_next(later), Some(Dequeued::Run(in_time)));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_wait_longer_than_the_sender_allows_is_refused_with_the_wait_expected() {
+fn too_long_wait_is_refused_with_the_expected_wait() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
@@ -95,11 +95,11 @@
 }
 
 #[test]
-fn a_closed_queue_refuses_what_waits_and_what_comes_and_lets_run_what_runs() {
+fn closed_queue_refuses_waiting_and_new_requests_but_not_running_ones() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let waiting = waits(queue.offer(now, item(now, 1, 500)));
+    let waiting = expect_wait(queue.offer(now, item(now, 1, 500)));
     assert_eq!(queue.close(), [waiting]);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Refuse(Refusal::Closed));
     queue.finish(Some(millis(10)));
@@ -108,31 +108,31 @@
 }
 
 #[test]
-fn a_request_whose_deadline_has_passed_never_runs() {
+fn request_past_its_deadline_never_runs() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     let short = WorkItem { deadline: now + millis(30), service: millis(10), ..item(now, 1, 20) };
-    let ticket = waits(queue.offer(now, short));
+    let ticket = expect_wait(queue.offer(now, short));
     queue.finish(Some(millis(50)));
     assert_eq!(queue.start_next(now + millis(50)), Some(Dequeued::Expire(ticket)));
     assert_eq!(queue.offer(now + millis(50), short), Decision::Refuse(Refusal::Expired));
 }
 
 #[test]
-fn a_request_that_could_not_be_finished_in_time_is_not_begun() {
+fn request_that_cannot_finish_before_its_deadline_never_runs() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     let long = WorkItem { deadline: now + millis(150), service: millis(120), ..item(now, 1, 140) };
-    let ticket = waits(queue.offer(now, long));
+    let ticket = expect_wait(queue.offer(now, long));
     queue.finish(Some(millis(80)));
     assert_eq!(queue.start_next(now + millis(80)), Some(Dequeued::Expire(ticket)));
     assert_eq!(queue.offer(now + millis(80), long), Decision::Refuse(Refusal::Expired));
 }
 
 #[test]
-fn the_report_tells_what_was_counted() {
+fn report_reflects_the_queue_state() {
     let now = Instant::now();
     let mut queue = open_queue(2);
     for _ in 0..5 {
@@ -151,8 +151,9 @@
 }
 
 quickcheck! {
-    /// Whatever happens in whatever order: never more run than there are slots, and nobody is forgotten.
-    fn never_more_run_than_there_are_slots(steps: Vec<(u8, u8, u8)>, slots: u8) -> bool {
+    /// For any sequence of events, no more requests run than there are slots, and no waiting request is lost
+    /// or left idle.
+    fn running_requests_never_exceed_the_slots(steps: Vec<(u8, u8, u8)>, slots: u8) -> bool {
         let slots = u32::from(slots % 5 + 1);
         let start = Instant::now();
         let mut now = start;
@@ -187,10 +188,10 @@
 }
 
 #[test]
-fn the_expected_wait_reckons_with_those_that_will_overtake() {
+fn expected_wait_includes_overtaking_requests() {
     let mut now = Instant::now();
     let mut queue = open_queue(2);
-    // For a second, more urgent requests come one after another and keep half of the slots busy.
+    // For one second, more urgent requests arrive one after another and keep half of the slots busy.
     for _ in 0..20 {
         assert_eq!(queue.offer(now, item(now, 1, 100)), Decision::Start);
         queue.finish(Some(millis(50)));
@@ -200,20 +201,23 @@
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
     let patient = queue.expected_wait(now, item(now, 1, 500));
     let urgent = queue.expected_wait(now, item(now, 1, 100));
-    assert_eq!(urgent, millis(25), "one of two slots of 50 ms gets free");
-    assert!(patient >= millis(35), "{patient:?} leaves out those that come meanwhile");
+    assert_eq!(urgent, millis(25), "one of two slots with a service time of 50 ms is released");
+    assert!(patient >= millis(35), "{patient:?} ignores the requests that arrive meanwhile");
     now += millis(5_000);
-    assert!(queue.expected_wait(now, item(now, 1, 500)) < millis(26), "none has come for a while");
+    assert!(
+        queue.expected_wait(now, item(now, 1, 500)) < millis(26),
+        "no overtaking request arrived recently"
+    );
 }
 
 #[test]
-fn first_tries_go_before_later_ones_of_the_same_kind() {
+fn first_attempts_precede_retries_of_the_same_priority() {
     let now = Instant::now();
     let mut queue = open_queue(1);
     assert_eq!(queue.offer(now, item(now, 1, 500)), Decision::Start);
-    let later = waits(queue.offer(now, WorkItem { is_caller_retry: true, ..item(now, 1, 400) }));
-    let first = waits(queue.offer(now, item(now, 1, 600)));
-    let less_urgent = waits(queue.offer(now, item(now, 2, 300)));
+    let later = expect_wait(queue.offer(now, WorkItem { is_caller_retry: true, ..item(now, 1, 400) }));
+    let first = expect_wait(queue.offer(now, item(now, 1, 600)));
+    let less_urgent = expect_wait(queue.offer(now, item(now, 2, 300)));
     let order: Vec<Option<Dequeued>> = (0..3)
         .map(|_| {
             queue.finish(Some(millis(10)));
@@ -223,25 +227,26 @@
     assert_eq!(order, [first, later, less_urgent].map(|ticket| Some(Dequeued::Run(ticket))));
 }
 
-/// What can't meet its objective any more takes no slot for which another one is about to come.
+/// A request that can no longer meet its objective must not take a free slot that a request in time is about
+/// to claim.
 #[test]
-fn a_late_request_takes_no_free_slot_just_after_one_in_time_was_refused() {
-    let begun = Instant::now();
+fn late_request_takes_no_free_slot_while_the_queue_is_contended() {
+    let epoch = Instant::now();
     let mut queue = WorkQueue::new();
     queue.set_slots(1);
     queue.open();
-    let in_time = item(begun, 1, 1_000);
-    assert_eq!(queue.offer(begun, in_time), Decision::Start);
+    let in_time = item(epoch, 1, 1_000);
+    assert_eq!(queue.offer(epoch, in_time), Decision::Start);
     queue.finish(Some(Duration::from_millis(100)));
-    assert_eq!(queue.offer(begun, in_time), Decision::Start);
+    assert_eq!(queue.offer(epoch, in_time), Decision::Start);
     let impatient = WorkItem { max_queue_wait: Duration::ZERO, ..in_time };
-    assert!(matches!(queue.offer(begun, impatient), Decision::Refuse(_)));
+    assert!(matches!(queue.offer(epoch, impatient), Decision::Refuse(_)));
     queue.finish(Some(Duration::from_millis(100)));
     let later = WorkItem { is_caller_retry: true, ..in_time };
-    let soon = begun + Duration::from_millis(40);
+    let soon = epoch + Duration::from_millis(40);
     assert!(matches!(queue.offer(soon, later), Decision::Refuse(Refusal::WaitTooLong { .. })));
     let more_urgent = WorkItem { priority: 0, ..later };
-    assert_eq!(queue.offer(soon, more_urgent), Decision::Start, "nothing of its own rank was refused");
+    assert_eq!(queue.offer(soon, more_urgent), Decision::Start, "no request of its priority was refused");
     queue.finish(Some(Duration::from_millis(100)));
-    assert_eq!(queue.offer(begun + Duration::from_millis(110), later), Decision::Start);
+    assert_eq!(queue.offer(epoch + Duration::from_millis(110), later), Decision::Start);
 }
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -1,4 +1,4 @@
-//! One pass over arrivals and slots on a virtual time, with real queues.
+//! Discrete-event simulation of arrivals on a virtual clock, with real queues.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, HashMap};
@@ -13,42 +13,42 @@
 
 /// Slots of one queue.
 const QUEUE_SLOTS: u32 = 8;
-/// Milliseconds for which requests come.
-const DAY: u64 = 20_000;
-/// Milliseconds at the beginning that are not counted.
-const WARM_UP: u64 = 4_000;
-/// Part of the time that is left after which a refused caller comes back, once.
-const COME_BACK: f64 = 0.3;
-
-/// The calls that runs of a kind make, together, once their own work is done.
+/// Simulated milliseconds in which requests arrive.
+const ARRIVAL_MILLIS: u64 = 20_000;
+/// Milliseconds at the start that are excluded from the results.
+const WARM_UP_MILLIS: u64 = 4_000;
+/// Fraction of the remaining time after which a refused caller retries, once.
+const RETRY_DELAY_SHARE: f64 = 0.3;
+
+/// The calls that runs of a kind make concurrently after their own work.
 #[derive(Debug)]
 pub struct CallKind {
     pub kind: &'static Kind,
     pub count: u32,
-    /// Share of the runs that make them.
+    /// Fraction of the runs that make calls.
     pub share: f64,
 }
 
-/// A kind of request; times are milliseconds.
+/// A kind of request. Times are in milliseconds.
 #[derive(Debug)]
 pub struct Kind {
     pub name: &'static str,
     pub service: usize,
-    pub rank: u8,
+    pub priority: u8,
     pub work: u64,
     pub objective: u64,
     pub deadline: u64,
     pub call: Option<CallKind>,
 }
 
-/// How many requests of a kind callers send.
+/// Rate at which callers send requests of a kind.
 #[derive(Debug, Clone, Copy)]
 pub struct Load {
     pub kind: &'static Kind,
     pub per_second: f64,
 }
 
-/// What became of the requests of a kind.
+/// Results of the requests of a kind.
 #[derive(Debug, Default, Clone, Copy)]
 struct Tally {
     sent: u32,
@@ -63,7 +63,7 @@
     first_sent: u64,
     sent: u64,
     is_caller_retry: bool,
-    /// The run that has made it.
+    /// The run that made this call; absent for a caller's request.
     run: Option<usize>,
     queue: (usize, usize),
     started: u64,
@@ -75,29 +75,29 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    Worked(usize),
-    GiveUp(usize, Ticket),
+    WorkDone(usize),
+    TimeOut(usize, Ticket),
 }
 
-/// One pass, and its result.
+/// One simulation and its results.
 pub struct Replay {
-    began: Instant,
+    epoch: Instant,
     now: u64,
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     sequence: u64,
     services: Vec<Vec<WorkQueue>>,
-    /// How the calls of the runs at each queue fare.
-    outlooks: HashMap<(usize, usize), CallFailureEstimator>,
+    /// Call statistics of each queue's runs.
+    failure_estimators: HashMap<(usize, usize), CallFailureEstimator>,
     requests: Vec<Request>,
     waiting: HashMap<(usize, usize, Ticket), usize>,
-    /// Time in the slot in the mean, in milliseconds.
+    /// Mean slot time by kind, in milliseconds.
     slot_times: HashMap<&'static str, f64>,
     tallies: BTreeMap<&'static str, Tally>,
     random: u64,
 }
 
 impl Replay {
-    /// Plays `loads` on services with so many slots each.
+    /// Simulates `loads` on services with the given numbers of slots.
     pub fn run(slots: &[u32], loads: &[Load]) -> Self {
         let mut replay = Self::new(slots);
         for load in loads {
@@ -113,12 +113,12 @@
     fn new(slots: &[u32]) -> Self {
         let queues = |slots: &u32| (0..slots / QUEUE_SLOTS).map(|_| open_queue()).collect();
         Self {
-            began: Instant::now(),
+            epoch: Instant::now(),
             now: 0,
             events: BinaryHeap::new(),
             sequence: 0,
             services: slots.iter().map(queues).collect(),
-            outlooks: HashMap::new(),
+            failure_estimators: HashMap::new(),
             requests: Vec::new(),
             waiting: HashMap::new(),
             slot_times: HashMap::new(),
@@ -127,13 +127,13 @@
         }
     }
 
-    /// Answers inside their objective a second, of all kinds that callers send.
+    /// Responses within their objective per second, over all kinds that callers send.
     pub fn goodput(&self) -> f64 {
         let in_time: u32 = self.tallies.values().map(|tally| tally.in_time).sum();
-        f64::from(in_time) * 1e3 / (DAY - WARM_UP) as f64
+        f64::from(in_time) * 1e3 / (ARRIVAL_MILLIS - WARM_UP_MILLIS) as f64
     }
 
-    /// Share of the requests of a kind that were answered in time.
+    /// Fraction of the requests of a kind that were answered in time.
     pub fn served_share(&self, kind: &str) -> f64 {
         let tally = self.tallies[kind];
         f64::from(tally.in_time) / f64::from(tally.sent)
@@ -143,7 +143,7 @@
         let mut at = 0.0;
         loop {
             at -= self.uniform().ln() * 1e3 / load.per_second;
-            if at >= DAY as f64 {
+            if at >= ARRIVAL_MILLIS as f64 {
                 return;
             }
             let request = self.request(load.kind, at as u64, None);
@@ -171,12 +171,12 @@
     fn step(&mut self, event: Event) {
         match event {
             Event::Arrive(request) => self.arrive(request),
-            Event::Worked(request) => self.worked(request),
-            Event::GiveUp(request, ticket) => self.give_up(request, ticket),
+            Event::WorkDone(request) => self.finish_work(request),
+            Event::TimeOut(request, ticket) => self.time_out(request, ticket),
         }
     }
 
-    /// Offers a request to the less loaded of two queues, then to the other one.
+    /// Offers a request to the less loaded of two random queues, then to the other one.
     fn arrive(&mut self, request: usize) {
         let service = self.requests[request].kind.service;
         let count = self.services[service].len();
@@ -196,8 +196,8 @@
         self.refused(request);
     }
 
-    /// Whether a run that makes calls may begin at a queue.
-    fn begins(&mut self, request: usize, queue: usize) -> bool {
+    /// Whether a run may begin at a queue, judged by its calls.
+    fn may_begin(&mut self, request: usize, queue: usize) -> bool {
         let Request { kind, .. } = self.requests[request];
         let Some(call) = &kind.call else { return true };
         let now = self.instant(self.now);
@@ -206,14 +206,14 @@
             return true;
         }
         let calls = [(name_of(call.kind), f64::from(call.count))];
-        let plan =
-            PendingRun { route: 0, rank: kind.rank, level: self.requests[request].level, calls: &calls };
-        self.outlooks.entry((kind.service, queue)).or_default().begin_run(now, &plan).is_ok()
+        let pending_run =
+            PendingRun { route: 0, rank: kind.priority, level: self.requests[request].level, calls: &calls };
+        self.failure_estimators.entry((kind.service, queue)).or_default().begin_run(now, &pending_run).is_ok()
     }
 
-    /// Offers a request to a queue; `false` if it is refused.
+    /// Offers a request to a queue. Returns `false` if it is refused.
     fn offer(&mut self, request: usize, queue: usize) -> bool {
-        if !self.begins(request, queue) {
+        if !self.may_begin(request, queue) {
             return false;
         }
         let item = self.item(request);
@@ -223,8 +223,8 @@
             Decision::Start => self.start(request),
             Decision::Wait(ticket) => {
                 self.waiting.insert((service, queue, ticket), request);
-                let end = item.queue_deadline.min(item.deadline).duration_since(self.began);
-                self.at(end.as_millis() as u64, Event::GiveUp(request, ticket));
+                let end = item.queue_deadline.min(item.deadline).duration_since(self.epoch);
+                self.at(end.as_millis() as u64, Event::TimeOut(request, ticket));
             }
             Decision::Refuse(_) => return false,
         }
@@ -235,7 +235,7 @@
         let Request { kind, sent, run, is_caller_retry, .. } = &self.requests[request];
         let run = run.map(|run| &self.requests[run]);
         let run_deadline = run.map_or(u64::MAX, |run| run.sent + run.kind.deadline);
-        let run_rank = run.map_or(u8::MAX, |run| run.kind.rank);
+        let run_priority = run.map_or(u8::MAX, |run| run.kind.priority);
         let bounds = WaitBounds {
             arrived: self.instant(*sent),
             objective: Duration::from_millis(kind.objective),
@@ -246,7 +246,7 @@
         let slot_time = self.slot_times.get(kind.name).copied().unwrap_or(kind.work as f64);
         let service = Duration::from_secs_f64(slot_time / 1e3);
         WorkItem {
-            priority: run_rank.min(kind.rank),
+            priority: run_priority.min(kind.priority),
             objective_at: bounds.arrived + bounds.objective,
             deadline: bounds.deadline,
             queue_deadline: bounds.queue_deadline(),
@@ -261,15 +261,15 @@
     fn start(&mut self, request: usize) {
         let work = self.requests[request].kind.work as f64 * (0.7 + 0.6 * self.uniform());
         self.requests[request].started = self.now;
-        self.at(self.now + work as u64, Event::Worked(request));
+        self.at(self.now + work as u64, Event::WorkDone(request));
     }
 
     /// Makes the calls of a run whose own work is done.
-    fn worked(&mut self, request: usize) {
+    fn finish_work(&mut self, request: usize) {
         let Request { kind, queue, .. } = self.requests[request];
         let Some(call) = &kind.call else { return self.end(request, true) };
         let has_called = self.uniform() < call.share;
-        self.outlooks.entry(queue).or_default().record_run(0, has_called);
+        self.failure_estimators.entry(queue).or_default().record_run(0, has_called);
         if !has_called {
             return self.end(request, true);
         }
@@ -293,7 +293,7 @@
             None => work_queue.finish(taken),
         }
         self.start_waiting(service, queue);
-        self.close(request, is_good);
+        self.complete(request, is_good);
     }
 
     fn start_waiting(&mut self, service: usize, queue: usize) {
@@ -312,7 +312,7 @@
         }
     }
 
-    fn give_up(&mut self, request: usize, ticket: Ticket) {
+    fn time_out(&mut self, request: usize, ticket: Ticket) {
         let (service, queue) = self.requests[request].queue;
         if self.waiting.remove(&(service, queue, ticket)).is_some() {
             self.services[service][queue].withdraw(ticket);
@@ -320,30 +320,30 @@
         }
     }
 
-    /// A caller comes back once; a call does not.
+    /// Retries a refused request once; calls are not retried.
     fn refused(&mut self, request: usize) {
         let Request { kind, first_sent, run, is_caller_retry, .. } = self.requests[request];
         let left = (first_sent + kind.deadline).saturating_sub(self.now);
         if run.is_some() || is_caller_retry || left == 0 {
-            return self.close(request, false);
+            return self.complete(request, false);
         }
-        let next = self.now + (left as f64 * COME_BACK) as u64;
+        let next = self.now + (left as f64 * RETRY_DELAY_SHARE) as u64;
         self.requests[request].is_caller_retry = true;
         self.requests[request].sent = next;
         self.at(next, Event::Arrive(request));
     }
 
-    /// Tells the run, or else the caller, what became of a request.
-    fn close(&mut self, request: usize, is_good: bool) {
+    /// Reports the result of a request to the run that made it, or counts it.
+    fn complete(&mut self, request: usize, is_good: bool) {
         let Request { kind, first_sent, run, .. } = self.requests[request];
         if let Some(run) = run {
             let Request { kind: run_kind, queue, .. } = self.requests[run];
             let end = if is_good { CallOutcome::Run } else { CallOutcome::NoRoom };
             let now = self.instant(self.now);
-            self.outlooks.entry(queue).or_default().record_call(
+            self.failure_estimators.entry(queue).or_default().record_call(
                 now,
                 &name_of(kind),
-                run_kind.rank,
+                run_kind.priority,
                 self.requests[run].level,
                 end,
             );
@@ -354,7 +354,7 @@
             }
             return;
         }
-        if first_sent < WARM_UP {
+        if first_sent < WARM_UP_MILLIS {
             return;
         }
         let tally = self.tallies.entry(kind.name).or_default();
@@ -372,10 +372,10 @@
     }
 
     fn instant(&self, millis: u64) -> Instant {
-        self.began + Duration::from_millis(millis)
+        self.epoch + Duration::from_millis(millis)
     }
 
-    /// A number above 0 and up to 1.
+    /// A random number in the range from 0 (excluded) to 1.
     fn uniform(&mut self) -> f64 {
         self.random =
             self.random.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -1,12 +1,12 @@
-//! A back end that is slow for a moment and says so.
+//! Back ends that are temporarily slow and report it.
 
 use std::time::{Duration, Instant};
 
 use quickcheck::quickcheck;
 use umberpond_scheduling::{CallLevel, Decision, InvalidSlowdown, Refusal, Slowdown, WorkItem, WorkQueue};
 
-/// Longer than any word counts.
-const LONG: Duration = Duration::from_secs(1);
+/// Longer than the lifetime of a report.
+const AFTER_EXPIRY: Duration = Duration::from_secs(1);
 
 fn millis(millis: u64) -> Duration {
     Duration::from_millis(millis)
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_word_counts_at_once_and_for_a_moment() {
+fn report_takes_effect_immediately_and_expires() {
     let now = Instant::now();
     let mut slowdown = Slowdown::default();
     assert_eq!(slowdown.percent(now), None);
@@ -48,12 +48,13 @@
     assert_eq!(slowdown.percent(now + millis(100)), Some(250));
     slowdown.on_word(now + millis(100), 100).unwrap();
     assert!((95..=100).contains(&slowdown.percent(now + millis(110)).unwrap()));
-    assert_eq!(slowdown.percent(now + LONG), None);
+    assert_eq!(slowdown.percent(now + AFTER_EXPIRY), None);
 }
 
-/// Times are learnt under the same words: a back end that is always told to be slow is not slower than its times say.
+/// Service times are measured under the same reports, so a back end that always reports a slowdown is not
+/// slower than its measured times.
 #[test]
-fn words_count_relative_to_their_mean() {
+fn reports_are_relative_to_their_average() {
     let mut now = Instant::now();
     let mut slowdown = Slowdown::default();
     for _ in 0..1_000 {
@@ -65,9 +66,9 @@
     assert_eq!(slowdown.percent(now), Some(250));
 }
 
-/// A spell lasts for some tens of words.
+/// A slow phase spans some tens of reports and must not pass for the usual speed before it ends.
 #[test]
-fn a_spell_is_still_one_at_its_end() {
+fn slow_phase_is_detected_until_its_end() {
     let now = Instant::now();
     let mut slowdown = Slowdown::default();
     for _ in 0..30 {
@@ -77,7 +78,7 @@
 }
 
 #[test]
-fn a_word_beyond_any_sense_is_ignored() {
+fn out_of_range_report_is_ignored() {
     let now = Instant::now();
     let mut slowdown = Slowdown::default();
     slowdown.on_word(now, 250).unwrap();
@@ -88,7 +89,7 @@
 }
 
 #[test]
-fn the_time_of_a_slow_answer_is_learnt_as_that_of_the_usual_speed() {
+fn slow_response_time_is_recorded_at_average_speed() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 250);
     let usual = queue.slowdown().normalized_time(now, millis(250));
@@ -96,11 +97,11 @@
     let report = queue.report(now);
     assert_eq!(report.service_time(), Some(millis(100)));
     assert_eq!(report.slowdown_percent, 250);
-    assert_eq!(queue.report(now + LONG).slowdown_percent, 0);
+    assert_eq!(queue.report(now + AFTER_EXPIRY).slowdown_percent, 0);
 }
 
 #[test]
-fn a_request_that_would_be_late_only_here_is_refused_at_once() {
+fn request_late_only_at_this_back_end_is_refused_immediately() {
     let now = Instant::now();
     let request = item(now, 250, 110);
     assert_eq!(open_queue(4).offer(now, request), Decision::Start);
@@ -110,18 +111,18 @@
     assert_eq!(slow_queue(now, 50).offer(now, request), Decision::Start);
 }
 
-/// Where nothing better is to be had for it, a request is treated as if nothing were known.
+/// A request that can't do better at another back end is treated as if no slowdown were reported.
 #[test]
-fn a_later_try_and_one_that_is_late_anywhere_are_not_refused_for_slowness() {
+fn retries_and_requests_late_anywhere_are_not_refused_for_slowness() {
     let now = Instant::now();
     let later_try = WorkItem { is_caller_retry: true, ..item(now, 250, 110) };
     assert_eq!(slow_queue(now, 250).offer(now, later_try), Decision::Start);
     assert_eq!(slow_queue(now, 250).offer(now, item(now, 100, 110)), Decision::Start);
 }
 
-/// A run whose call is refused has failed, and its time is lost; one whose call is late goes on.
+/// A run fails if its call is refused, and its time is wasted; it continues if the call is late.
 #[test]
-fn a_call_for_which_a_run_waits_is_not_refused_for_slowness() {
+fn call_of_a_run_is_not_refused_for_slowness() {
     let now = Instant::now();
     let call = CallLevel::FIRST;
     let of_a_run = WorkItem { call: Some(call), ..item(now, 60, 28) };
@@ -131,7 +132,7 @@
 }
 
 #[test]
-fn a_wait_is_expected_to_last_longer_while_the_back_end_is_slow() {
+fn expected_wait_grows_with_the_slowdown() {
     let now = Instant::now();
     let request = WorkItem { max_queue_wait: millis(60), ..item(now, 250, 40) };
     let offer_to_full = |queue: &mut WorkQueue| {
@@ -145,18 +146,19 @@
     assert!(matches!(slowed, Decision::Refuse(Refusal::BackEndSlow { .. })), "{slowed:?}");
 }
 
-/// A back end that gets no work tells nothing. Were its last word to count for ever, it would never get work again.
+/// Guards against starving a back end: it sends no reports without requests, so a report that never expired
+/// would keep requests away forever.
 #[test]
-fn a_back_end_that_tells_nothing_any_more_gets_work_again() {
+fn back_end_without_reports_gets_requests_again() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 600);
     assert!(matches!(queue.offer(now, item(now, 250, 110)), Decision::Refuse(_)));
-    let later = now + LONG;
+    let later = now + AFTER_EXPIRY;
     assert_eq!(queue.offer(later, item(later, 250, 110)), Decision::Start);
 }
 
 #[test]
-fn another_back_end_in_its_place_starts_without_its_word() {
+fn replaced_back_end_starts_without_a_slowdown() {
     let now = Instant::now();
     let mut queue = slow_queue(now, 600);
     queue.reset_statistics();
@@ -164,15 +166,15 @@
 }
 
 quickcheck! {
-    /// Whatever is told, a time is divided by something sensible, and nothing panics.
-    fn any_word_leaves_a_sensible_factor(words: Vec<(u16, u16)>) -> bool {
+    /// Any report yields a factor within the valid range, and nothing panics.
+    fn any_report_yields_a_factor_in_range(reports: Vec<(u16, u16)>) -> bool {
         let mut slowdown = Slowdown::default();
         let mut now = Instant::now();
-        words.into_iter().all(|(percent, after)| {
+        reports.into_iter().all(|(percent, after)| {
             now += millis(u64::from(after));
             let _ = slowdown.on_word(now, percent);
             let factor = slowdown.factor(now);
-            (0.1..=100.0).contains(&factor) && slowdown.normalized_time(now, LONG) <= LONG * 10
+            (0.1..=100.0).contains(&factor) && slowdown.normalized_time(now, AFTER_EXPIRY) <= AFTER_EXPIRY * 10
         })
     }
 }
--- a/crates/scheduling/tests/support/gate.rs
+++ b/crates/scheduling/tests/support/gate.rs
@@ -1,4 +1,4 @@
-//! What stands before a back end in a replay.
+//! Admission strategies compared in replays.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::{Duration, Instant};
@@ -6,9 +6,9 @@
 use umberpond_model::TenantId;
 use umberpond_scheduling::{Decision, Dequeued, Ticket, WorkItem, WorkQueue};
 
-use super::Numbers;
+use super::Random;
 
-/// What becomes of a request that a gate is offered.
+/// Outcome of offering a request to a gate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Offered {
     Starts,
@@ -20,28 +20,28 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Leaving {
     Starts(usize),
-    InVain(usize),
+    Dropped(usize),
 }
 
-/// Decides which requests a back end gets, by their indices.
+/// Decides which requests a back end gets. Requests are identified by their indices.
 pub trait Gate {
     fn offer(&mut self, now: Instant, item: WorkItem, request: usize) -> Offered;
-    /// The next request that starts or is turned away.
+    /// The next request that starts or is dropped.
     fn next(&mut self, now: Instant) -> Option<Leaving>;
-    /// Gives up a request; `false` if it does not wait any more.
+    /// Removes a request. Returns `false` if it no longer waits.
     fn withdraw(&mut self, request: usize) -> bool;
     fn finish(&mut self, tenant: Option<TenantId>, held: Duration);
-    /// Tenants of which something is kept.
+    /// Number of tenants with stored state.
     fn tenant_count(&self) -> usize;
 }
 
-/// The queue of the product.
+/// The production queue.
 #[derive(Default)]
 pub struct QueueGate {
     queue: WorkQueue,
     waiting: BTreeMap<Ticket, usize>,
     tickets: BTreeMap<usize, Ticket>,
-    turned_away: VecDeque<usize>,
+    evicted: VecDeque<usize>,
 }
 
 impl QueueGate {
@@ -69,7 +69,7 @@
                 self.tickets.insert(request, ticket);
                 for displaced in self.queue.take_displaced() {
                     let request = self.forget(displaced.ticket);
-                    self.turned_away.push_back(request);
+                    self.evicted.push_back(request);
                 }
                 Offered::Waits
             }
@@ -77,12 +77,12 @@
     }
 
     fn next(&mut self, now: Instant) -> Option<Leaving> {
-        if let Some(request) = self.turned_away.pop_front() {
-            return Some(Leaving::InVain(request));
+        if let Some(request) = self.evicted.pop_front() {
+            return Some(Leaving::Dropped(request));
         }
         Some(match self.queue.start_next(now)? {
             Dequeued::Run(ticket) => Leaving::Starts(self.forget(ticket)),
-            Dequeued::Expire(ticket) => Leaving::InVain(self.forget(ticket)),
+            Dequeued::Expire(ticket) => Leaving::Dropped(self.forget(ticket)),
         })
     }
 
@@ -104,12 +104,12 @@
     }
 }
 
-/// Queues of a gate with shuffle sharding.
-const QUEUES: usize = 64;
-/// Queues among which the requests of one tenant go to the shortest.
-const HAND: usize = 6;
-/// Most requests in one queue.
-const QUEUE_LENGTH: usize = 50;
+/// Number of queues in shuffle sharding.
+const SHARD_COUNT: usize = 64;
+/// Number of queues assigned to a tenant; a request goes to the shortest of them.
+const SHARDS_PER_TENANT: usize = 6;
+/// Maximum length of a queue.
+const MAX_SHARD_LENGTH: usize = 50;
 
 #[derive(Debug, Clone, Default)]
 struct Shard {
@@ -117,7 +117,8 @@
     virtual_start: Duration,
 }
 
-/// The way weighed against: a fixed number of queues that share the slots fairly, each tenant dealt a hand of them.
+/// The rejected alternative, shuffle sharding: a fixed number of queues that share the slots fairly, with a
+/// random subset of them assigned to each tenant.
 pub struct ShardedGate {
     slots: u32,
     running: u32,
@@ -127,19 +128,19 @@
 
 impl ShardedGate {
     pub fn new(slots: u32) -> Self {
-        Self { slots, running: 0, virtual_time: Duration::ZERO, shards: vec![Shard::default(); QUEUES] }
+        Self { slots, running: 0, virtual_time: Duration::ZERO, shards: vec![Shard::default(); SHARD_COUNT] }
     }
 
-    fn hand(tenant: Option<TenantId>) -> Vec<usize> {
-        let mut numbers = Numbers::new(tenant.map_or(0, |tenant| tenant.0));
-        let mut hand = Vec::new();
-        while hand.len() < HAND {
-            let queue = numbers.below(QUEUES);
-            if !hand.contains(&queue) {
-                hand.push(queue);
+    fn tenant_shards(tenant: Option<TenantId>) -> Vec<usize> {
+        let mut random = Random::new(tenant.map_or(0, |tenant| tenant.0));
+        let mut tenant_shards = Vec::new();
+        while tenant_shards.len() < SHARDS_PER_TENANT {
+            let queue = random.below(SHARD_COUNT);
+            if !tenant_shards.contains(&queue) {
+                tenant_shards.push(queue);
             }
         }
-        hand
+        tenant_shards
     }
 }
 
@@ -150,10 +151,10 @@
             self.running += 1;
             return Offered::Starts;
         }
-        let hand = Self::hand(item.tenant);
-        let shortest = hand.into_iter().min_by_key(|index| self.shards[*index].requests.len());
-        let shard = &mut self.shards[shortest.expect("a hand of queues")];
-        if shard.requests.len() >= QUEUE_LENGTH {
+        let tenant_shards = Self::tenant_shards(item.tenant);
+        let shortest = tenant_shards.into_iter().min_by_key(|index| self.shards[*index].requests.len());
+        let shard = &mut self.shards[shortest.expect("a tenant has several queues")];
+        if shard.requests.len() >= MAX_SHARD_LENGTH {
             return Offered::Refused;
         }
         if shard.requests.is_empty() {
--- a/crates/scheduling/tests/support/mod.rs
+++ b/crates/scheduling/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Requests of tenants before several back ends, replayed on virtual time through real queues.
+//! Simulation of tenants' requests at several back ends, with real queues on a virtual clock.
 
 mod gate;
 
@@ -11,15 +11,15 @@
 
 use gate::{Gate, Leaving, Offered, QueueGate, ShardedGate};
 
-/// Part of its objective within which a request is expected to be answered when it is taken in.
-const PATIENCE_SHARE: f64 = 0.55;
-/// Part of its caller's time for which a request waits at most.
-const HOLD_SHARE: f64 = 0.45;
+/// Fraction of its objective within which an admitted request is expected to be answered.
+const EXPECTED_RESPONSE_SHARE: f64 = 0.55;
+/// Maximum fraction of the caller's timeout for which a request waits.
+const MAX_QUEUE_TIMEOUT_SHARE: f64 = 0.45;
 
-/// Numbers that look random, the same for the same seed.
-pub struct Numbers(u64);
+/// Deterministic pseudorandom numbers.
+pub struct Random(u64);
 
-impl Numbers {
+impl Random {
     pub const fn new(seed: u64) -> Self {
         Self(seed)
     }
@@ -31,7 +31,7 @@
         mixed ^ (mixed >> 31)
     }
 
-    /// Between 0 and 1.
+    /// A number between 0 and 1.
     #[allow(clippy::cast_precision_loss)]
     pub fn share(&mut self) -> f64 {
         (self.next() >> 11) as f64 / (1_u64 << 53) as f64
@@ -43,67 +43,67 @@
     }
 }
 
-/// What one tenant sends to all back ends together.
+/// Requests of one tenant to all back ends together.
 #[derive(Debug, Clone, Copy)]
 pub struct TenantLoad {
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// Mean time that a back end takes for one, in seconds.
+    /// Mean service time in seconds.
     pub service: f64,
-    /// When it begins and ends to send, in seconds.
-    pub between: (f64, f64),
+    /// Start and end of sending, in seconds.
+    pub sending_period: (f64, f64),
 }
 
-/// What stands before the back ends.
+/// Admission strategy of the back ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Gates {
-    /// Queues that are told no tenants.
-    Untold,
-    /// Queues that are told the tenants.
-    Told,
-    /// A fixed number of queues with shuffle sharding.
+pub enum Strategy {
+    /// Queues without information about tenants.
+    WithoutTenants,
+    /// Queues with information about tenants.
+    WithTenants,
+    /// Shuffle sharding over a fixed number of queues.
     Sharded,
 }
 
-impl Gates {
+impl Strategy {
     fn gate(self, slots: u32) -> Box<dyn Gate> {
         match self {
-            Self::Untold | Self::Told => Box::new(QueueGate::new(slots)),
+            Self::WithoutTenants | Self::WithTenants => Box::new(QueueGate::new(slots)),
             Self::Sharded => Box::new(ShardedGate::new(slots)),
         }
     }
 }
 
-/// A load before back ends of equal size.
+/// A load on back ends of equal size.
 #[derive(Debug, Clone)]
 pub struct Replay {
     pub tenants: Vec<TenantLoad>,
     pub back_ends: usize,
     pub slots: u32,
     pub seconds: f64,
-    /// End of the objective and the deadline, in seconds from the arrival.
+    /// Objective and deadline, in seconds from the arrival.
     pub objective: f64,
     pub deadline: f64,
     pub seed: u64,
-    pub gates: Gates,
-    /// When the first back end's node restarts, in seconds.
+    pub strategy: Strategy,
+    /// When the node of the first back end restarts, in seconds.
     pub restart: Option<f64>,
-    /// Requests that arrive earlier don't count, in seconds.
+    /// Requests that arrive earlier are excluded from the results, in seconds.
     pub counted_from: f64,
 }
 
-/// What became of the requests of one tenant.
+/// Results of one tenant's requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct TenantResult {
     pub offered: u32,
     pub served: u32,
     pub in_time: u32,
-    /// Taken in, and never started.
-    pub in_vain: u32,
-    /// Seconds of slot time.
+    /// Admitted but never started.
+    pub dropped: u32,
+    /// Slot time in seconds.
     pub offered_seconds: f64,
     pub served_seconds: f64,
-    /// Seconds of slot time of requests answered within their objective.
+    /// Slot time in seconds of requests answered within their objective.
     pub in_time_seconds: f64,
 }
 
@@ -117,49 +117,49 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive(usize),
-    GiveUp { back_end: usize, life: u32, request: usize },
-    End { back_end: usize, life: u32, request: usize },
+    TimeOut { back_end: usize, generation: u32, request: usize },
+    End { back_end: usize, generation: u32, request: usize },
     Restart,
 }
 
 struct BackEnd {
     gate: Box<dyn Gate>,
-    life: u32,
+    generation: u32,
 }
 
-/// One run of a [`Replay`].
+/// One execution of a [`Replay`].
 struct Run<'a> {
     replay: &'a Replay,
-    begun: Instant,
+    epoch: Instant,
     requests: Vec<Request>,
     back_ends: Vec<BackEnd>,
     events: BinaryHeap<Reverse<(u64, usize, Event)>>,
     count: usize,
-    numbers: Numbers,
+    random: Random,
     results: Vec<TenantResult>,
     most_tenants: usize,
 }
 
-/// What a replay showed.
+/// Results of a replay.
 #[derive(Debug)]
 pub struct Outcome {
     pub tenants: Vec<TenantResult>,
-    /// Most tenants of which a queue kept something at once.
+    /// Maximum number of tenants for which a queue had state at the same time.
     pub most_tenants: usize,
 }
 
 impl Outcome {
-    /// Requests answered within their objective.
+    /// Number of requests answered within their objective.
     pub fn in_time(&self) -> u32 {
         self.tenants.iter().map(|tenant| tenant.in_time).sum()
     }
 
-    /// Seconds of slot time of requests answered within their objective.
+    /// Slot time in seconds of requests answered within their objective.
     pub fn in_time_seconds(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.in_time_seconds).sum()
     }
 
-    /// Seconds of slot time of all requests answered.
+    /// Slot time in seconds of all answered requests.
     pub fn served_seconds(&self) -> f64 {
         self.tenants.iter().map(|tenant| tenant.served_seconds).sum()
     }
@@ -167,16 +167,17 @@
 
 impl Replay {
     pub fn run(&self) -> Outcome {
-        let back_ends =
-            (0..self.back_ends).map(|_| BackEnd { gate: self.gates.gate(self.slots), life: 0 }).collect();
+        let back_ends = (0..self.back_ends)
+            .map(|_| BackEnd { gate: self.strategy.gate(self.slots), generation: 0 })
+            .collect();
         let mut run = Run {
             replay: self,
-            begun: Instant::now(),
+            epoch: Instant::now(),
             requests: Vec::new(),
             back_ends,
             events: BinaryHeap::new(),
             count: 0,
-            numbers: Numbers::new(self.seed),
+            random: Random::new(self.seed),
             results: vec![TenantResult::default(); self.tenants.len()],
             most_tenants: 0,
         };
@@ -199,13 +200,13 @@
 
     fn plan_arrivals(&mut self) {
         for (tenant, load) in self.replay.tenants.iter().enumerate() {
-            let (mut at, until) = (load.between.0, load.between.1.min(self.replay.seconds));
+            let (mut at, until) = (load.sending_period.0, load.sending_period.1.min(self.replay.seconds));
             loop {
-                at -= (1.0 - self.numbers.share()).ln() / load.rate;
+                at -= (1.0 - self.random.share()).ln() / load.rate;
                 if at >= until {
                     break;
                 }
-                let taken = load.service * (0.5 + self.numbers.share());
+                let taken = load.service * (0.5 + self.random.share());
                 self.requests.push(Request { tenant, arrived: at, taken });
                 self.plan(at, Event::Arrive(self.requests.len() - 1));
             }
@@ -218,30 +219,33 @@
     fn go(&mut self) {
         let end = nanos(self.replay.seconds);
         while let Some(Reverse((at, _, event))) = self.events.pop().filter(|Reverse((at, ..))| *at <= end) {
-            let now = self.begun + Duration::from_nanos(at);
+            let now = self.epoch + Duration::from_nanos(at);
             match event {
                 Event::Arrive(request) => self.arrive(now, request),
-                Event::GiveUp { back_end, life, request } => self.give_up(back_end, life, request),
-                Event::End { back_end, life, request } => self.end(now, back_end, life, request),
+                Event::TimeOut { back_end, generation, request } => {
+                    self.time_out(back_end, generation, request)
+                }
+                Event::End { back_end, generation, request } => self.end(now, back_end, generation, request),
                 Event::Restart => {
-                    let life = self.back_ends[0].life + 1;
-                    self.back_ends[0] = BackEnd { gate: self.replay.gates.gate(self.replay.slots), life };
+                    let generation = self.back_ends[0].generation + 1;
+                    self.back_ends[0] =
+                        BackEnd { gate: self.replay.strategy.gate(self.replay.slots), generation };
                 }
             }
         }
     }
 
     fn tenant(&self, request: Request) -> Option<TenantId> {
-        (self.replay.gates != Gates::Untold).then_some(TenantId(request.tenant as u64))
+        (self.replay.strategy != Strategy::WithoutTenants).then_some(TenantId(request.tenant as u64))
     }
 
     fn hold_seconds(&self) -> f64 {
-        self.replay.objective.min(self.replay.deadline * HOLD_SHARE)
+        self.replay.objective.min(self.replay.deadline * MAX_QUEUE_TIMEOUT_SHARE)
     }
 
     fn item(&self, now: Instant, request: Request) -> WorkItem {
         let load = self.replay.tenants[request.tenant];
-        let max_queue_wait = (self.replay.objective * PATIENCE_SHARE - load.service).max(0.0);
+        let max_queue_wait = (self.replay.objective * EXPECTED_RESPONSE_SHARE - load.service).max(0.0);
         WorkItem {
             priority: 1,
             objective_at: now + Duration::from_secs_f64(self.replay.objective),
@@ -260,9 +264,9 @@
         (arrived >= self.replay.counted_from).then(|| &mut self.results[tenant])
     }
 
-    fn count_in_vain(&mut self, request: usize) {
+    fn count_dropped(&mut self, request: usize) {
         if let Some(result) = self.result(request) {
-            result.in_vain += 1;
+            result.dropped += 1;
         }
     }
 
@@ -272,25 +276,25 @@
             result.offered += 1;
             result.offered_seconds += offered.taken;
         }
-        let index = self.numbers.below(self.back_ends.len());
+        let index = self.random.below(self.back_ends.len());
         let item = self.item(now, offered);
         let back_end = &mut self.back_ends[index];
         match back_end.gate.offer(now, item, request) {
             Offered::Starts => self.start(now, index, request),
             Offered::Waits => {
-                let life = back_end.life;
+                let generation = back_end.generation;
                 let queue_deadline = offered.arrived + self.hold_seconds();
-                self.plan(queue_deadline, Event::GiveUp { back_end: index, life, request });
+                self.plan(queue_deadline, Event::TimeOut { back_end: index, generation, request });
             }
             Offered::Refused => {}
         }
         self.start_waiting(now, index);
     }
 
-    fn give_up(&mut self, index: usize, life: u32, request: usize) {
+    fn time_out(&mut self, index: usize, generation: u32, request: usize) {
         let back_end = &mut self.back_ends[index];
-        if back_end.life == life && back_end.gate.withdraw(request) {
-            self.count_in_vain(request);
+        if back_end.generation == generation && back_end.gate.withdraw(request) {
+            self.count_dropped(request);
         }
     }
 
@@ -298,24 +302,24 @@
         while let Some(leaving) = self.back_ends[index].gate.next(now) {
             match leaving {
                 Leaving::Starts(request) => self.start(now, index, request),
-                Leaving::InVain(request) => self.count_in_vain(request),
+                Leaving::Dropped(request) => self.count_dropped(request),
             }
         }
         self.most_tenants = self.most_tenants.max(self.back_ends[index].gate.tenant_count());
     }
 
     fn start(&mut self, now: Instant, back_end: usize, request: usize) {
-        let at = now.duration_since(self.begun).as_secs_f64() + self.requests[request].taken;
-        let life = self.back_ends[back_end].life;
-        self.plan(at, Event::End { back_end, life, request });
+        let at = now.duration_since(self.epoch).as_secs_f64() + self.requests[request].taken;
+        let generation = self.back_ends[back_end].generation;
+        self.plan(at, Event::End { back_end, generation, request });
     }
 
-    fn end(&mut self, now: Instant, index: usize, life: u32, request: usize) {
-        if self.back_ends[index].life != life {
+    fn end(&mut self, now: Instant, index: usize, generation: u32, request: usize) {
+        if self.back_ends[index].generation != generation {
             return;
         }
         let ended = self.requests[request];
-        let total = now.duration_since(self.begun).as_secs_f64() - ended.arrived;
+        let total = now.duration_since(self.epoch).as_secs_f64() - ended.arrived;
         let is_in_time = total <= self.replay.objective;
         if let Some(result) = self.result(request) {
             result.served += 1;
@@ -330,7 +334,7 @@
     }
 }
 
-/// Max-min fair parts of `capacity` for `demands`.
+/// Max-min fair division of `capacity` between `demands`.
 #[allow(clippy::cast_precision_loss)]
 pub fn max_min_fair(demands: &[f64], capacity: f64) -> Vec<f64> {
     let mut order: Vec<usize> = (0..demands.len()).collect();
