--- /dev/null
+++ b/crates/model/src/back_end_process.rs
@@ -0,0 +1,44 @@
+//! Identifies one process of a back end.
+
+use std::fmt;
+
+/// One process of a back end, from its start to its exit. A back end may restart under the same identity; the
+/// start time distinguishes the two processes.
+#[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub struct BackEndProcess {
+    /// Identity of the back end.
+    pub instance: String,
+    /// Unix milliseconds of the process start by the clock of its own machine; absent if the back end does
+    /// not report it.
+    pub born: Option<u64>,
+}
+
+impl BackEndProcess {
+    /// The process of the back end called `instance`, with an unknown start time.
+    #[must_use]
+    pub fn of(instance: &str) -> Self {
+        Self { instance: instance.to_owned(), born: None }
+    }
+
+    /// Whether `self` and `other` may be the same process. A process with an unknown start time matches any
+    /// process of the same back end.
+    #[must_use]
+    pub fn may_equal(&self, other: &Self) -> bool {
+        let both_known = self.born.is_some() && other.born.is_some();
+        self.instance == other.instance && (!both_known || self.born == other.born)
+    }
+
+    /// Whether this process started before `other`, by the clocks of their machines; `false` if either start
+    /// time is unknown.
+    #[must_use]
+    pub fn started_before(&self, other: &Self) -> bool {
+        self.born.zip(other.born).is_some_and(|(one, other)| one < other)
+    }
+}
+
+impl fmt::Display for BackEndProcess {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        formatter.write_str(&self.instance)?;
+        self.born.map_or(Ok(()), |born| write!(formatter, "@{born}"))
+    }
+}
--- a/crates/model/src/evacuations.rs
+++ b/crates/model/src/evacuations.rs
@@ -1,4 +1,4 @@
-//! Zones that operators have emptied.
+//! Zones that operators have evacuated.
 
 use std::collections::BTreeSet;
 
@@ -6,23 +6,23 @@
 
 use crate::ZoneName;
 
-/// The zones whose back ends get nothing new, as the store held them at one moment.
+/// The zones whose back ends receive no new requests, as read from the store at one revision.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct Evacuations {
-    /// Revision of the store at that moment.
+    /// Store revision at which the zones were read.
     pub revision: u64,
     /// The zones.
     pub zones: BTreeSet<ZoneName>,
 }
 
 impl Evacuations {
-    /// Whether this tells of a later moment than `other`.
+    /// Whether this was read at a later revision than `other`.
     #[must_use]
     pub const fn supersedes(&self, other: &Self) -> bool {
         self.revision > other.revision
     }
 
-    /// The zones in one text, for logs.
+    /// Comma-separated zone names, for logs.
     #[must_use]
     pub fn zone_list(&self) -> String {
         let zones: Vec<&str> = self.zones.iter().map(ZoneName::as_str).collect();
--- a/crates/model/src/hash.rs
+++ b/crates/model/src/hash.rs
@@ -5,7 +5,7 @@
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// BLAKE3 hash of an immutable object; the object's name on the platform.
+/// BLAKE3 hash of an immutable object, which is also the object's key in the store.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct ContentHash([u8; 32]);
--- a/crates/model/src/homes.rs
+++ b/crates/model/src/home_regions.rs
@@ -7,13 +7,13 @@
 
 use crate::RegionName;
 
-/// The regions in which a request may be served and its body kept; anywhere unless some are named.
+/// The regions in which a request may be served and its body stored; unrestricted if none are named.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct HomeRegions(Option<BTreeSet<RegionName>>);
 
 impl HomeRegions {
-    /// Only in these regions; anywhere if none is named.
+    /// Restricts requests to `regions`; unrestricted if the set is empty.
     #[must_use]
     pub fn only(regions: BTreeSet<RegionName>) -> Self {
         Self((!regions.is_empty()).then_some(regions))
@@ -25,13 +25,13 @@
         self.0.as_ref().is_none_or(|regions| regions.contains(region))
     }
 
-    /// Whether requests may be served anywhere.
+    /// Whether requests may be served in any region.
     #[must_use]
     pub const fn are_anywhere(&self) -> bool {
         self.0.is_none()
     }
 
-    /// The regions that both this and `other` allow, which may be none at all.
+    /// Regions that both `self` and `other` allow. The intersection may be empty, which allows no region.
     #[must_use]
     pub fn and(&self, other: &Self) -> Self {
         match (&self.0, &other.0) {
--- a/crates/model/src/lib.rs
+++ b/crates/model/src/lib.rs
@@ -1,26 +1,26 @@
-//! Identifiers and records shared by every slice.
+//! Identifiers and records shared by all crates.
 //!
-//! Nothing in this crate does I/O or decides anything. Each identifier is a type of its own, so that a
-//! service name can't be passed where a node name is meant, and each is checked once, where it enters.
+//! This crate does no I/O and holds no policy. Each identifier has its own type, so that a service name can't
+//! be passed as a node name, and is validated once, when it is parsed.
 
+mod back_end_process;
 mod evacuations;
 mod hash;
-mod homes;
+mod home_regions;
 mod incarnation;
-mod life;
 mod locality;
 mod names;
 mod rate;
 mod record;
-mod tenant_number;
+mod tenant_id;
 mod time;
 mod version;
 
+pub use back_end_process::BackEndProcess;
 pub use evacuations::Evacuations;
 pub use hash::ContentHash;
-pub use homes::HomeRegions;
+pub use home_regions::HomeRegions;
 pub use incarnation::Incarnation;
-pub use life::BackEndProcess;
 pub use locality::{Locality, LocalityRule};
 pub use names::{
     BundleName, InvalidName, MAX_NAME_BYTES, NodeName, RegionName, ReleaseName, RouteName, SecretName,
@@ -28,6 +28,6 @@
 };
 pub use rate::{InvalidRate, RequestRate};
 pub use record::{Head, VersionRecord};
-pub use tenant_number::TenantId;
+pub use tenant_id::TenantId;
 pub use time::Millis;
 pub use version::{SubmissionId, Version};
--- a/crates/model/src/locality.rs
+++ b/crates/model/src/locality.rs
@@ -1,4 +1,4 @@
-//! Localities: where a process runs, and where a service's traffic may go.
+//! Localities: where a process runs, and where traffic of a service may go.
 
 use std::fmt;
 
@@ -29,13 +29,13 @@
 pub struct LocalityRule {
     /// Region that is allowed.
     pub region: RegionName,
-    /// The only zone of the region that is allowed; all of its zones if absent.
+    /// The only allowed zone of the region; all its zones if absent.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub zone: Option<ZoneName>,
 }
 
 impl LocalityRule {
-    /// Tells whether `locality` falls under this rule.
+    /// Whether this rule allows `locality`.
     #[must_use]
     pub fn allows(&self, locality: &Locality) -> bool {
         self.region == locality.region && self.zone.as_ref().is_none_or(|zone| *zone == locality.zone)
--- a/crates/model/src/names.rs
+++ b/crates/model/src/names.rs
@@ -1,4 +1,4 @@
-//! Checked names: lower-case letters, digits, `-` and `.`, at most 63 bytes, as in DNS labels.
+//! Validated names: lower-case letters, digits, `-` and `.`, at most 63 bytes, as in DNS labels.
 
 use std::fmt;
 use std::str::FromStr;
@@ -8,39 +8,39 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Longest accepted name, in bytes (the limit of one DNS label).
+/// Maximum length of a name in bytes (the limit of one DNS label).
 pub const MAX_NAME_BYTES: usize = 63;
 
-/// A name that breaks the naming rule.
+/// A name that violates the naming rule.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum InvalidName {
-    /// The name holds no character.
+    /// The name is empty.
     #[error("a {kind} name must not be empty")]
     Empty {
-        /// What was being named.
+        /// Kind of the named entity.
         kind: &'static str,
     },
     /// The name is longer than [`MAX_NAME_BYTES`].
     #[error("the {kind} name is {length} bytes long; at most {MAX_NAME_BYTES} are allowed")]
     TooLong {
-        /// What was being named.
+        /// Kind of the named entity.
         kind: &'static str,
-        /// Length found, in bytes.
+        /// Length of the name in bytes.
         length: usize,
     },
-    /// The name holds a character outside the rule, or starts or ends with `-` or `.`.
+    /// The name contains a character that is not allowed, or starts or ends with `-` or `.`.
     #[error(
-        "the {kind} name `{name}` may hold only a-z, 0-9, `-` and `.`, and starts and ends with a letter or digit"
+        "invalid {kind} name `{name}`: use only a-z, 0-9, `-` and `.`, with a letter or digit at both ends"
     )]
     BadCharacter {
-        /// What was being named.
+        /// Kind of the named entity.
         kind: &'static str,
-        /// The name as given.
+        /// The rejected name.
         name: String,
     },
 }
 
-fn check(kind: &'static str, name: &str) -> Result<(), InvalidName> {
+fn validate(kind: &'static str, name: &str) -> Result<(), InvalidName> {
     if name.is_empty() {
         return Err(InvalidName::Empty { kind });
     }
@@ -65,16 +65,16 @@
         pub struct $name(Arc<str>);
 
         impl $name {
-            /// Checks `name` against the naming rule.
+            /// Validates `name`.
             ///
             /// # Errors
-            /// Returns [`InvalidName`] when the rule is broken.
+            /// Returns [`InvalidName`] if the name violates the naming rule.
             pub fn new(name: &str) -> Result<Self, InvalidName> {
-                check($kind, name)?;
+                validate($kind, name)?;
                 Ok(Self(Arc::from(name)))
             }
 
-            /// The name as text.
+            /// The name as a string slice.
             #[must_use]
             pub fn as_str(&self) -> &str {
                 &self.0
@@ -124,7 +124,7 @@
 }
 
 checked_name!(
-    /// Name of a bundle: one set of files that is submitted and withdrawn as a whole.
+    /// Name of a bundle: a set of files that is submitted and withdrawn as a whole.
     BundleName,
     "bundle"
 );
@@ -144,12 +144,12 @@
     "route"
 );
 checked_name!(
-    /// Name of a secret; its value is a type of its own and is never printed.
+    /// Name of a secret. Its value has a separate type and is never printed.
     SecretName,
     "secret"
 );
 checked_name!(
-    /// Name of a node. A replacement of a machine may carry the same name with a later incarnation.
+    /// Name of a node. A replacement machine may reuse the name with a higher incarnation.
     NodeName,
     "node"
 );
@@ -164,7 +164,7 @@
     "zone"
 );
 checked_name!(
-    /// Name of a tenant: somebody on whose behalf callers send requests.
+    /// Name of a tenant: a customer or team on whose behalf callers send requests.
     TenantName,
     "tenant"
 );
--- a/crates/model/src/rate.rs
+++ b/crates/model/src/rate.rs
@@ -1,4 +1,4 @@
-//! How often something may happen.
+//! Request rates.
 
 use std::fmt;
 
@@ -6,17 +6,16 @@
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// Thousandths in one.
 const THOUSANDTHS: f64 = 1_000.0;
-/// Highest rate, in requests a second.
-const HIGHEST: f64 = 1e9;
+/// Maximum rate, in requests per second.
+const MAX_PER_SECOND: f64 = 1e9;
 
-/// A rate that is no rate.
+/// A rate outside the allowed range.
 #[derive(Debug, Clone, Copy, PartialEq, Error)]
-#[error("{0} is no rate: it must be above 0 and at most {HIGHEST} a second")]
+#[error("invalid rate {0}: it must be above 0 and at most {MAX_PER_SECOND} requests per second")]
 pub struct InvalidRate(pub f64);
 
-/// Requests a second, in thousandths, so that equal rates are equal and hash alike.
+/// A rate in requests per second, stored in thousandths so that equal rates compare and hash equal.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
@@ -24,27 +23,27 @@
 pub struct RequestRate(u64);
 
 impl RequestRate {
-    /// So many requests a second, which may be a fraction.
+    /// Creates a rate from requests per second, which may be fractional.
     ///
     /// # Errors
-    /// Returns [`InvalidRate`] unless it is above 0 and not beyond all measure.
+    /// Returns [`InvalidRate`] if the rate rounds to less than a thousandth or exceeds the maximum.
     pub fn per_second(rate: f64) -> Result<Self, InvalidRate> {
         let thousandths = (rate * THOUSANDTHS).round();
-        if !(1.0..=HIGHEST * THOUSANDTHS).contains(&thousandths) {
+        if !(1.0..=MAX_PER_SECOND * THOUSANDTHS).contains(&thousandths) {
             return Err(InvalidRate(rate));
         }
         #[allow(clippy::cast_possible_truncation, clippy::cast_sign_loss, reason = "checked above")]
         Ok(Self(thousandths as u64))
     }
 
-    /// Requests a second.
+    /// Requests per second.
     #[must_use]
     #[allow(clippy::cast_precision_loss, reason = "far below 2^52")]
     pub const fn as_f64(self) -> f64 {
         self.0 as f64 / THOUSANDTHS
     }
 
-    /// Whole requests a second, at least 1.
+    /// Requests per second, rounded down to a whole number, at least 1.
     #[must_use]
     pub const fn whole(self) -> u64 {
         let whole = self.0 / 1_000;
--- a/crates/model/src/tenant_number.rs
+++ b/crates/model/src/tenant_id.rs
@@ -1,15 +1,16 @@
-//! A tenant as messages and queues name it.
+//! Compact tenant identifiers for messages and queues.
 
 use bitcode::{Decode, Encode};
 
 use crate::names::TenantName;
 
-/// Names a tenant in messages: a hash of its name, the same on all nodes. Two tenants with the same number would share their tokens.
+/// Identifies a tenant in messages: a hash of its name, the same on all nodes. Two tenants whose names hash
+/// to the same value would share their tokens.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct TenantId(pub u64);
 
 impl TenantId {
-    /// The number of the tenant called `name`.
+    /// The identifier of the tenant called `name`.
     #[must_use]
     pub fn of(name: &TenantName) -> Self {
         let mut first = [0; 8];
--- a/crates/model/src/time.rs
+++ b/crates/model/src/time.rs
@@ -1,4 +1,4 @@
-//! Times in configurations and settings.
+//! Durations in configurations and settings.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
--- a/crates/model/src/version.rs
+++ b/crates/model/src/version.rs
@@ -1,4 +1,4 @@
-//! Positions in the version chain and identities of submissions.
+//! Positions in the version chain and identifiers of submissions.
 
 use std::fmt;
 use std::num::ParseIntError;
@@ -7,7 +7,7 @@
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 
-/// Position in the one chain of accepted configurations; 0 is the empty configuration.
+/// Position in the chain of accepted configurations; 0 is the empty configuration.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
@@ -15,7 +15,7 @@
 pub struct Version(pub u64);
 
 impl Version {
-    /// The empty configuration that every chain starts from.
+    /// The empty configuration at the start of every chain.
     pub const GENESIS: Self = Self(0);
 
     /// The version that follows this one.
@@ -31,7 +31,8 @@
     }
 }
 
-/// Identity of one submission, chosen at random by the operator's client. Resolves lost answers.
+/// Identifier of a submission, chosen at random by the operator's client. If the response is lost, the client
+/// uses it to look up the outcome.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize)]
 #[serde(try_from = "String", into = "String")]
 pub struct SubmissionId(pub u128);
