--- a/crates/distribution/src/held.rs
+++ b/crates/distribution/src/history.rs
@@ -1,4 +1,4 @@
-//! The configuration that a node holds, and some that it held before.
+//! The current configuration of a node and the earlier ones that deltas can start from.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,12 +8,12 @@
 
 use crate::transfer::{Held, Transfer, TransferError};
 
-/// Encoded transfers kept for the nodes that ask for the same one.
-const KEPT_TRANSFERS: usize = 4;
-/// Earlier versions kept, so that the difference from them can be told.
-const KEPT_VERSIONS: usize = 64;
+/// Maximum number of cached encoded transfers, shared by nodes that request the same one.
+const MAX_CACHED_TRANSFERS: usize = 4;
+/// Maximum number of earlier versions kept as bases for deltas.
+const MAX_EARLIER_VERSIONS: usize = 64;
 
-/// A whole configuration and its version.
+/// A complete configuration with its version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct VersionedConfiguration {
     /// The version.
@@ -25,105 +25,108 @@
 }
 
 impl VersionedConfiguration {
-    /// A configuration with its hash.
+    /// Creates a versioned configuration and computes its hash.
     #[must_use]
     pub fn new(version: Version, snapshot: Snapshot) -> Self {
         Self { version, hash: snapshot.content_hash(), snapshot: Arc::new(snapshot) }
     }
 
-    /// Version and hash.
+    /// Version and content hash.
     #[must_use]
     pub const fn held(&self) -> Held {
         Held { version: self.version, hash: self.hash }
     }
 }
 
-/// The configuration that a node holds. It only ever moves to a higher version.
+/// The configuration that a node holds, and earlier versions. The version only ever increases.
 #[derive(Debug, Default)]
 pub struct ConfigurationHistory {
     newest: Option<VersionedConfiguration>,
     earlier: VecDeque<VersionedConfiguration>,
-    /// Transfers to the newest, encoded.
-    prepared: VecDeque<PreparedTransfer>,
+    /// Encoded transfers to the newest version.
+    cached: VecDeque<CachedTransfer>,
 }
 
-/// A transfer that several nodes may ask for.
+/// A cached transfer that several nodes may request.
 #[derive(Debug)]
-struct PreparedTransfer {
+struct CachedTransfer {
     held: Option<Held>,
     encoded: Arc<[u8]>,
 }
 
 impl ConfigurationHistory {
-    /// The configuration held.
+    /// The newest configuration.
     #[must_use]
     pub const fn newest(&self) -> Option<&VersionedConfiguration> {
         self.newest.as_ref()
     }
 
-    /// Version held.
+    /// Version of the newest configuration.
     #[must_use]
     pub fn version(&self) -> Option<Version> {
         self.newest.as_ref().map(|held| held.version)
     }
 
-    /// Takes in a configuration; `false` if it is not newer than the one held.
+    /// Replaces the configuration; returns `false` if `offered` is not newer than the current one.
     pub fn offer(&mut self, offered: VersionedConfiguration) -> bool {
         if self.version().is_some_and(|held| held >= offered.version) {
             return false;
         }
-        self.prepared.clear();
+        self.cached.clear();
         if let Some(before) = self.newest.replace(offered) {
             self.earlier.push_back(before);
         }
-        if self.earlier.len() > KEPT_VERSIONS {
+        if self.earlier.len() > MAX_EARLIER_VERSIONS {
             self.earlier.pop_front();
         }
         true
     }
 
-    /// What a node needs that holds `held`.
+    /// The transfer that brings a node holding `held` up to date.
     #[must_use]
     pub fn transfer_for(&self, held: Option<Held>) -> Transfer {
-        let Some(newest) = &self.newest else { return Transfer::NothingNewer };
+        let Some(newest) = &self.newest else { return Transfer::UpToDate };
         if held.is_some_and(|held| held.version >= newest.version) {
-            return Transfer::NothingNewer;
+            return Transfer::UpToDate;
         }
         let base = held.and_then(|held| self.earlier.iter().find(|earlier| earlier.held() == held));
         match base {
-            Some(base) => Transfer::Difference {
+            Some(base) => Transfer::Delta {
                 from: base.held(),
                 to: newest.held(),
                 delta: Delta::between(&base.snapshot, &newest.snapshot).to_bytes(),
             },
-            None => Transfer::Whole { to: newest.held(), content: newest.snapshot.to_bytes() },
+            None => Transfer::Full { to: newest.held(), content: newest.snapshot.to_bytes() },
         }
     }
 
-    /// What a node needs that holds `held`, encoded. Many nodes ask for the same after a change, so it is made once.
+    /// Encoded transfer that brings a node holding `held` up to date. Many nodes request the same transfer
+    /// after a change, so the encoding is cached.
     pub fn encoded_transfer_for(&mut self, held: Option<Held>) -> Arc<[u8]> {
-        if let Some(prepared) = self.prepared.iter().find(|prepared| prepared.held == held) {
-            return Arc::clone(&prepared.encoded);
+        if let Some(cached) = self.cached.iter().find(|cached| cached.held == held) {
+            return Arc::clone(&cached.encoded);
         }
         let encoded: Arc<[u8]> = self.transfer_for(held).to_bytes().into();
-        if self.prepared.len() >= KEPT_TRANSFERS {
-            self.prepared.pop_front();
+        if self.cached.len() >= MAX_CACHED_TRANSFERS {
+            self.cached.pop_front();
         }
-        self.prepared.push_back(PreparedTransfer { held, encoded: Arc::clone(&encoded) });
+        self.cached.push_back(CachedTransfer { held, encoded: Arc::clone(&encoded) });
         encoded
     }
 
-    /// The configuration that `transfer` leads to from the one held; absent if it leads to nothing newer.
+    /// Applies `transfer` to the current configuration and returns the result; absent if it is not newer. The
+    /// current configuration does not change.
     ///
     /// # Errors
-    /// Returns [`TransferError`] if it can't be read or does not lead where it says. Nothing changes then.
+    /// Returns [`TransferError`] if the transfer can't be decoded, starts from another configuration or does
+    /// not produce the content that it announces.
     pub fn receive(&self, transfer: Transfer) -> Result<Option<VersionedConfiguration>, TransferError> {
         let (to, snapshot) = match transfer {
-            Transfer::NothingNewer => return Ok(None),
-            Transfer::Whole { to, content } => (to, Snapshot::from_bytes(&content)?),
-            Transfer::Difference { from, to, delta } => {
+            Transfer::UpToDate => return Ok(None),
+            Transfer::Full { to, content } => (to, Snapshot::from_bytes(&content)?),
+            Transfer::Delta { from, to, delta } => {
                 let base = self.newest.as_ref().filter(|newest| newest.held() == from);
-                let base = base.ok_or(TransferError::OtherBase)?;
+                let base = base.ok_or(TransferError::BaseMismatch)?;
                 (to, Delta::from_bytes(&delta)?.apply(&base.snapshot))
             }
         };
@@ -132,7 +135,7 @@
         }
         let received = VersionedConfiguration::new(to.version, snapshot);
         if received.hash != to.hash {
-            return Err(TransferError::OtherContent);
+            return Err(TransferError::HashMismatch);
         }
         Ok(Some(received))
     }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -1,15 +1,16 @@
-//! Which configuration a node holds, who reads the store, and what one node sends another.
+//! Configuration distribution: which configuration a node holds, which nodes read the store, and how nodes
+//! transfer configurations to each other.
 //!
-//! A few nodes read the store; each tells some others which version it holds, and a node that holds an older one
-//! fetches the difference from one of those that told it. A node that finds no reader in touch with the store becomes one. The
-//! core has no I/O and reads no clock.
+//! A few nodes read the store. Each node announces its version to some others; a node with an older version
+//! fetches a delta from one of the nodes that announced a newer one. A node that finds no reader in contact
+//! with the store becomes a reader itself. This crate does no I/O and reads no clock.
 
-mod held;
-mod holders;
+mod history;
+mod newer_peers;
 mod readers;
 mod transfer;
 
-pub use held::{ConfigurationHistory, VersionedConfiguration};
-pub use holders::NewerPeers;
+pub use history::{ConfigurationHistory, VersionedConfiguration};
+pub use newer_peers::NewerPeers;
 pub use readers::{ReaderContext, ReaderRole, ReaderSettings, reader_role};
 pub use transfer::{Held, Transfer, TransferError};
--- a/crates/distribution/src/transfer.rs
+++ b/crates/distribution/src/transfer.rs
@@ -1,4 +1,4 @@
-//! What one node sends another.
+//! The message that transfers a configuration between nodes.
 
 use std::io::{Read, Write};
 
@@ -10,96 +10,96 @@
 use umberpond_config::DecodeError;
 use umberpond_model::{ContentHash, Version};
 
-/// Length in bytes from which a transfer is compressed.
-const COMPRESSED_FROM: usize = 4 * 1024;
-/// Longest transfer that is decompressed, in bytes.
-const MAX_DECOMPRESSED: u64 = 64 * 1024 * 1024;
+/// Minimum encoded length in bytes at which a transfer is compressed.
+const MIN_COMPRESSED_LENGTH: usize = 4 * 1024;
+/// Maximum decompressed length of a transfer, in bytes.
+const MAX_DECOMPRESSED_LENGTH: u64 = 64 * 1024 * 1024;
 
-/// Names a configuration that a node holds.
+/// Identifies a configuration by version and content hash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Held {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
     /// Hash of its content.
     pub hash: ContentHash,
 }
 
-/// The way to a newer configuration.
+/// A response to a node that requests a newer configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Transfer {
-    /// The sender holds nothing newer.
-    NothingNewer,
-    /// The difference from a configuration that the receiver holds.
-    Difference {
-        /// The configuration that the difference starts from.
+    /// The sender has no newer configuration.
+    UpToDate,
+    /// A delta from a configuration that the receiver holds.
+    Delta {
+        /// The configuration that the delta applies to.
         from: Held,
-        /// The configuration that it leads to.
+        /// The configuration that the delta produces.
         to: Held,
-        /// The difference, encoded.
+        /// The encoded delta.
         delta: Vec<u8>,
     },
-    /// A whole configuration.
-    Whole {
-        /// The configuration.
+    /// A complete configuration.
+    Full {
+        /// Identifier of the configuration.
         to: Held,
-        /// Its content, encoded.
+        /// The encoded content.
         content: Vec<u8>,
     },
 }
 
-/// A transfer as it travels.
+/// Wire format of a transfer.
 #[derive(Debug, Encode, Decode)]
-enum Packed {
+enum WireTransfer {
     Plain(Transfer),
-    /// An encoded transfer, compressed by DEFLATE.
+    /// An encoded transfer, compressed with DEFLATE.
     Compressed(Vec<u8>),
 }
 
 impl Transfer {
-    /// The transfer as it travels; a long one is compressed.
+    /// Encodes the transfer; long transfers are compressed.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         let encoded = bitcode::encode(self);
-        if encoded.len() < COMPRESSED_FROM {
-            return bitcode::encode(&Packed::Plain(self.clone()));
+        if encoded.len() < MIN_COMPRESSED_LENGTH {
+            return bitcode::encode(&WireTransfer::Plain(self.clone()));
         }
         let mut encoder = DeflateEncoder::new(Vec::new(), Compression::fast());
-        // Writing to memory does not fail; if it did, the transfer would travel as it is.
+        // Writing to memory does not fail; if it did, the transfer would be sent uncompressed.
         let compressed = encoder.write_all(&encoded).and_then(|()| encoder.finish());
-        let packed = compressed.map_or_else(|_| Packed::Plain(self.clone()), Packed::Compressed);
-        bitcode::encode(&packed)
+        let wire = compressed.map_or_else(|_| WireTransfer::Plain(self.clone()), WireTransfer::Compressed);
+        bitcode::encode(&wire)
     }
 
-    /// Reads what [`Transfer::to_bytes`] wrote.
+    /// Decodes the output of [`Transfer::to_bytes`].
     ///
     /// # Errors
-    /// Returns [`TransferError::Damaged`] for anything else.
+    /// Returns [`TransferError::Malformed`] if the bytes are malformed.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, TransferError> {
-        let packed = bitcode::decode(bytes).map_err(|_| TransferError::Damaged)?;
-        let compressed = match packed {
-            Packed::Plain(transfer) => return Ok(transfer),
-            Packed::Compressed(compressed) => compressed,
+        let wire = bitcode::decode(bytes).map_err(|_| TransferError::Malformed)?;
+        let compressed = match wire {
+            WireTransfer::Plain(transfer) => return Ok(transfer),
+            WireTransfer::Compressed(compressed) => compressed,
         };
         let mut encoded = Vec::new();
-        let mut decoder = DeflateDecoder::new(&compressed[..]).take(MAX_DECOMPRESSED);
-        decoder.read_to_end(&mut encoded).map_err(|_| TransferError::Damaged)?;
-        bitcode::decode(&encoded).map_err(|_| TransferError::Damaged)
+        let mut decoder = DeflateDecoder::new(&compressed[..]).take(MAX_DECOMPRESSED_LENGTH);
+        decoder.read_to_end(&mut encoded).map_err(|_| TransferError::Malformed)?;
+        bitcode::decode(&encoded).map_err(|_| TransferError::Malformed)
     }
 }
 
-/// A transfer that could not be taken in; nothing has changed.
+/// A transfer that could not be applied; the current configuration is unchanged.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum TransferError {
-    /// The bytes are no transfer.
-    #[error("the bytes are no transfer")]
-    Damaged,
-    /// The content can't be read.
-    #[error("the transfer can't be read")]
+    /// The bytes can't be decoded as a transfer.
+    #[error("malformed transfer")]
+    Malformed,
+    /// The content or delta can't be decoded.
+    #[error("failed to decode the content of the transfer")]
     Unreadable(#[from] DecodeError),
-    /// It starts from a configuration that this node does not hold any more.
-    #[error("the transfer starts from a configuration that is not held")]
-    OtherBase,
-    /// It does not lead to the content that it names.
-    #[error("the transfer does not lead to the content that it names")]
-    OtherContent,
+    /// The delta applies to a configuration other than the current one.
+    #[error("the delta applies to a configuration that this node does not hold")]
+    BaseMismatch,
+    /// The resulting content does not match the announced hash.
+    #[error("the transferred content does not match its announced hash")]
+    HashMismatch,
 }
