--- a/crates/distribution/src/readers.rs
+++ b/crates/distribution/src/readers.rs
@@ -11,7 +11,7 @@
     pub readers: usize,
     /// Time without a response from the store to any node after which further nodes start to read it.
     pub takeover_delay: Duration,
-    /// Added to [`takeover_delay`](Self::step_in_after) for each doubling of the number of nodes, because the
+    /// Added to [`takeover_delay`](Self::takeover_delay) for each doubling of the number of nodes, because the
     /// time of the last response is gossiped, and for each doubling of the nodes ranked before this one. The
     /// number of readers at most doubles in each step, so that not all nodes contact a failing store at once.
     pub takeover_delay_per_doubling: Duration,
@@ -21,7 +21,7 @@
     /// to read, since callers wait for the first configuration. The first readers need about 50 ms to fetch
     /// their configuration and pass it on.
     pub startup_delay: Duration,
-    /// Added to [`startup_delay`](Self::first_step_in_after) for each doubling of the nodes ranked
+    /// Added to [`startup_delay`](Self::startup_delay) for each doubling of the nodes ranked
     /// before this one.
     pub startup_delay_per_doubling: Duration,
 }
