--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -1,7 +1,8 @@
-//! Short sums of what a node knows, by which two nodes find out that one of them missed something.
+//! Digests of the membership, with which two nodes detect that one of them missed an update.
 //!
-//! All records are spread over [`BUCKETS`] buckets by the node's name. A heartbeat carries the sum of one bucket, the next
-//! one that of the next bucket; where the sums of two nodes differ for a while, they compare that bucket in full.
+//! All records are hashed into [`BUCKETS`] buckets by node name. Each heartbeat carries the digests of one or
+//! more buckets. If the digests of a bucket on two nodes differ for a while, the nodes compare the record
+//! versions in that bucket.
 
 use std::collections::VecDeque;
 
@@ -10,30 +11,31 @@
 
 use crate::record::RecordOrder;
 
-/// Count of the buckets. At 13,000 nodes one holds 203 orders, about 2.5 KB in a datagram.
+/// Number of buckets. At 13,000 nodes a bucket holds 203 record versions, about 2.5 KB in a datagram.
 pub const BUCKETS: u8 = 64;
 
-/// Heartbeats that carry the sum of a bucket out of turn after a change: two to each of some ten neighbours.
-const TOLD_OUT_OF_TURN: u8 = 20;
+/// Number of heartbeats that carry the digest of a changed bucket out of turn: two to each of about ten
+/// neighbours.
+const OUT_OF_TURN_SENDS: u8 = 20;
 
-/// Most sums in one heartbeat; one has nine bytes.
+/// Maximum number of digests in a heartbeat. Each takes nine bytes.
 const MAX_DIGESTS: usize = 6;
 
-/// Sum of one bucket.
+/// Digest of one bucket.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Encode, Decode)]
 pub struct BucketDigest {
-    /// The bucket.
+    /// Index of the bucket.
     pub bucket: u8,
-    /// Exclusive or over its records.
+    /// Exclusive or of the hashes of its records.
     pub sum: u64,
 }
 
-/// Sums of all buckets.
+/// Digests of all buckets.
 #[derive(Debug, Clone)]
 pub(crate) struct Digests {
     sums: [u64; BUCKETS as usize],
     next: u8,
-    /// Buckets that have changed lately, and how often each is still told out of turn.
+    /// Recently changed buckets, each with the number of times it is still sent out of turn.
     recent: VecDeque<(u8, u8)>,
 }
 
@@ -42,19 +44,20 @@
         Self { sums: [0; BUCKETS as usize], next: 0, recent: VecDeque::new() }
     }
 
-    /// Replaces what a record has added to its bucket.
+    /// Replaces a record's hash in the digest of its bucket.
     pub(crate) fn replace(&mut self, bucket: u8, before: u64, after: u64) {
         if before == after {
             return;
         }
         self.sums[usize::from(bucket)] ^= before ^ after;
         match self.recent.iter_mut().find(|(recent, _)| *recent == bucket) {
-            Some((_, left)) => *left = TOLD_OUT_OF_TURN,
-            None => self.recent.push_back((bucket, TOLD_OUT_OF_TURN)),
+            Some((_, left)) => *left = OUT_OF_TURN_SENDS,
+            None => self.recent.push_back((bucket, OUT_OF_TURN_SENDS)),
         }
     }
 
-    /// The sums of some buckets that have changed lately, for what somebody has missed shows there, or else of the next one.
+    /// The digests for the next heartbeat: recently changed buckets first, since a missed update shows there;
+    /// otherwise the next bucket in turn.
     pub(crate) fn take_next(&mut self) -> Vec<BucketDigest> {
         let count = self.recent.len().clamp(1, MAX_DIGESTS);
         let buckets: Vec<u8> =
@@ -77,13 +80,14 @@
         bucket
     }
 
-    /// Whether a digest differs from the own one; not if it names no bucket.
+    /// Whether `digest` differs from the digest of the same bucket here; `false` if the bucket does not
+    /// exist.
     pub(crate) fn differs(&self, digest: BucketDigest) -> bool {
         self.sums.get(usize::from(digest.bucket)).is_some_and(|sum| *sum != digest.sum)
     }
 }
 
-/// Place of a node in all orders that are the same on every node.
+/// Hash of the node name. It orders the nodes identically on all nodes.
 pub(crate) fn rank_of(node: &NodeName) -> u64 {
     const OFFSET: u64 = 0xcbf2_9ce4_8422_2325;
     const PRIME: u64 = 0x0000_0100_0000_01b3;
@@ -91,17 +95,17 @@
     mix(node.as_str().as_bytes().iter().fold(OFFSET, fnv))
 }
 
-/// The bucket of a node with this rank.
+/// Bucket of the node with this rank.
 pub(crate) const fn bucket_of(rank: u64) -> u8 {
     (rank % BUCKETS as u64) as u8
 }
 
-/// What a record adds to its bucket.
+/// Hash of a record version, combined into the digest of its bucket.
 pub(crate) const fn contribution_of(order: &RecordOrder) -> u64 {
     mix(mix(order.life ^ order.incarnation.0.rotate_left(32)).wrapping_add(order.sequence))
 }
 
-/// Spreads the bits of a number (`SplitMix64`).
+/// Mixes the bits of `value` (`SplitMix64`).
 const fn mix(value: u64) -> u64 {
     let mut mixed = value.wrapping_add(0x9e37_79b9_7f4a_7c15);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -1,4 +1,4 @@
-//! What nodes tell one another in datagrams.
+//! Datagrams exchanged between nodes.
 
 use bitcode::{Decode, Encode};
 use umberpond_model::Version;
@@ -10,121 +10,124 @@
 use crate::digest::BucketDigest;
 use crate::record::{MemberRecord, RecordOrder};
 
-/// The last heartbeat that the sender received from the receiver.
+/// Identifies the last heartbeat that the sender received from the receiver.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Echo {
-    /// Process that sent it.
+    /// Process that sent the heartbeat.
     pub life: u64,
-    /// Its number.
+    /// Number of the heartbeat.
     pub number: u64,
 }
 
-/// What a node says of the configuration that it holds.
+/// The configuration that a node holds, and how recently the store was in contact.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Encode, Decode)]
-pub struct ConfigurationWord {
-    /// Version in force; absent before the first.
+pub struct ConfigurationStatus {
+    /// Active version; absent before the first activation.
     pub version: Option<Version>,
-    /// Time since any node last heard from the store itself, as far as the sender knows, in milliseconds; absent if it
-    /// knows of none.
+    /// Time in milliseconds since the last response from the store to any node, as far as the sender knows;
+    /// absent if it knows of none.
     pub store_age_millis: Option<u32>,
 }
 
-/// The sender's word of itself.
+/// The sender's own record, in full or by version.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub enum SenderWord {
-    /// The whole record.
-    Whole(Box<MemberRecord>),
-    /// The record of this order, which the receiver has said that it holds, or has been told by others.
-    Held(RecordOrder),
+pub enum SenderRecord {
+    /// The complete record.
+    Full(Box<MemberRecord>),
+    /// Version of the record. Sent if the receiver has acknowledged this version, or is expected to have
+    /// received it from other nodes.
+    Known(RecordOrder),
 }
 
-impl SenderWord {
-    /// Order of the sender's record.
+impl SenderRecord {
+    /// Version of the sender's record.
     #[must_use]
     pub const fn order(&self) -> RecordOrder {
         match self {
-            Self::Whole(record) => record.order(),
-            Self::Held(order) => *order,
+            Self::Full(record) => record.order(),
+            Self::Known(order) => *order,
         }
     }
 }
 
-/// What one node tells another at regular times, and at once when something changes.
+/// Sent between neighbours at regular intervals, and immediately after a change.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Heartbeat {
-    /// Count of the heartbeats from this process to this receiver.
+    /// Number of the heartbeat, counted per sending process and receiver.
     pub number: u64,
-    /// The sender's word of itself.
-    pub word: SenderWord,
-    /// The last heartbeat that came the other way; absent if none did lately.
+    /// The sender's own record.
+    pub word: SenderRecord,
+    /// The last heartbeat received from the receiver; absent if the sender's process has received none.
     pub echo: Option<Echo>,
-    /// The latest record of the receiver that the sender holds.
+    /// Version of the receiver's record that the sender holds.
     pub held: Option<RecordOrder>,
     /// Load of the sender's back end.
     pub load: LoadReport,
     /// The configuration that the sender holds.
-    pub configuration: ConfigurationWord,
-    /// Part of what the sender knows of all nodes, for comparison.
+    pub configuration: ConfigurationStatus,
+    /// Digests of some buckets of the sender's records, for comparison.
     pub digests: Vec<BucketDigest>,
-    /// Time in milliseconds between two heartbeats that the sender expects of the receiver; 0 if it does not watch it.
+    /// Interval in milliseconds at which the sender expects heartbeats from the receiver; 0 if it does not
+    /// monitor the receiver.
     pub watch_millis: u16,
-    /// By whom the receiver was found silent, if it is left out for that.
+    /// Processes that accused the receiver, if the sender has excluded it.
     pub accusers: Vec<u64>,
-    /// Whether the receiver should answer at once.
+    /// Whether the receiver should respond immediately.
     pub wants_response: bool,
     /// Whether the receiver should send all records that it holds.
     pub wants_records: bool,
 }
 
-/// A neighbour's finding that a node is silent.
+/// A neighbour's report that a node is silent.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Accusation {
-    /// The record of the silent node; a later record of it refutes the finding.
+    /// The version of the silent node's record. A later version refutes the accusation.
     pub against: RecordOrder,
-    /// Process that found it.
+    /// Process that made the accusation.
     pub by: u64,
 }
 
-/// What has changed in the membership, passed on from node to node.
+/// Changes of the membership, forwarded from node to node.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
-pub struct News {
+pub struct MembershipUpdate {
     /// Newer records.
     pub records: Vec<MemberRecord>,
-    /// Findings of neighbours.
+    /// Accusations made by neighbours.
     pub accusations: Vec<Accusation>,
-    /// Whether only the receiver lacks them, so that they are not passed on.
+    /// Whether this repairs missed updates of the receiver, which does not forward it.
     pub is_repair: bool,
 }
 
-impl News {
-    /// Whether there is nothing in it.
+impl MembershipUpdate {
+    /// Whether it contains no changes.
     #[must_use]
     pub const fn is_empty(&self) -> bool {
         self.records.is_empty() && self.accusations.is_empty()
     }
 }
 
-/// What a node knows of one bucket, sent to a node whose digest of it differs.
+/// The record versions of one bucket, sent to a node whose digest of the bucket differs. The receiver sends
+/// back the records that are missing.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct BucketOrders {
-    /// The bucket.
+pub struct BucketContents {
+    /// Index of the bucket.
     pub bucket: u8,
-    /// Orders of the records that the sender holds in it.
+    /// Versions of the records that the sender holds in the bucket.
     pub orders: Vec<RecordOrder>,
 }
 
-/// What nodes tell one another of the requests under suspicion of ending back ends.
+/// Messages about requests that are suspected of crashing back ends.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum SuspectMessage {
-    /// Findings, passed on.
+    /// Findings, forwarded from node to node.
     Told(Vec<SuspectRecord>),
-    /// Sum of what every node has to know, for comparison.
+    /// Digest of the findings that all nodes should hold, for comparison.
     Digest(u64),
-    /// What the receiver may lack, so that it is not passed on.
+    /// Findings that the receiver may lack; it does not forward them.
     Repair {
         /// Findings.
         records: Vec<SuspectRecord>,
-        /// Whether the sender may lack some itself.
+        /// Whether the sender may lack findings itself and requests a response.
         wants_response: bool,
     },
 }
@@ -132,30 +135,30 @@
 /// One datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Datagram {
-    /// Shows that the sender runs.
+    /// Shows that the sender is running.
     Heartbeat(Box<Heartbeat>),
-    /// Changes, passed on.
-    News(News),
-    /// Asks for the records of a bucket that the sender lacks.
-    Orders(BucketOrders),
-    /// Tells a coordinator of a rollout what a back end has answered.
+    /// Membership changes.
+    MembershipUpdate(MembershipUpdate),
+    /// Requests the records of a bucket that the sender lacks.
+    BucketContents(BucketContents),
+    /// Reports a back end's responses to a coordinator of a rollout.
     Evidence(Box<ReleaseEvidence>),
-    /// Tells of requests that may end back ends.
+    /// Reports requests that may crash back ends.
     Suspects(SuspectMessage),
-    /// Hands earned time on to a pool of tokens, and asks it for some.
+    /// Transfers earned time to a token pool and requests tokens from it.
     QuotaReport(Box<QuotaReport>),
-    /// Answers such a report.
+    /// Response to a quota report.
     QuotaGrant(QuotaGrant),
 }
 
 impl Datagram {
-    /// Its kind in the metrics.
+    /// Label of the datagram's kind in the metrics.
     #[must_use]
     pub const fn kind(&self) -> &'static str {
         match self {
             Self::Heartbeat(_) => "heartbeat",
-            Self::News(_) => "news",
-            Self::Orders(_) => "repair",
+            Self::MembershipUpdate(_) => "news",
+            Self::BucketContents(_) => "repair",
             Self::Evidence(_) => "evidence",
             Self::Suspects(_) => "suspects",
             Self::QuotaReport(_) => "quota-report",
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -1,8 +1,8 @@
-//! All other nodes, and this node's word of itself.
+//! The membership: all other nodes and this node's own record.
 
+mod gossip;
 mod joining;
 mod receive;
-mod spread;
 mod tick;
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,28 +16,28 @@
 use umberpond_scheduling::LoadReport;
 
 use crate::digest::{BUCKETS, Digests, bucket_of, contribution_of, rank_of};
-use crate::heartbeat::{ConfigurationWord, Datagram, Heartbeat};
+use crate::event::MembershipEvent;
+use crate::heartbeat::{ConfigurationStatus, Datagram, Heartbeat};
 use crate::member::{Member, MemberView, Reachability};
 use crate::neighbours::Zones;
-use crate::note::MembershipEvent;
 use crate::record::{BackEndRecord, BackEndState, MemberPhase, MemberRecord, RecordOrder};
 use crate::settings::MembershipSettings;
+use gossip::{PendingUpdates, UpdateRole};
 use joining::Joining;
-use spread::{PendingNews, Reach};
 
-/// A datagram to be sent.
+/// A datagram to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Outgoing {
-    /// Where to.
+    /// Destination address.
     pub to: SocketAddr,
     /// The datagram.
     pub datagram: Datagram,
 }
 
-/// Most notes kept until they are taken.
-const MAX_NOTES: usize = 64;
+/// Maximum number of events kept until they are taken.
+const MAX_EVENTS: usize = 64;
 
-/// Membership as one node sees it.
+/// The membership as seen by one node.
 #[derive(Debug)]
 pub struct Membership {
     settings: MembershipSettings,
@@ -45,45 +45,46 @@
     own_rank: u64,
     load: LoadReport,
     version: Option<Version>,
-    /// When the store itself answered this node last.
+    /// When the store last responded to this node.
     own_store_contact: Option<Instant>,
-    /// The latest moment at which any node is known to have heard from the store.
+    /// Latest time at which any node is known to have received a response from the store.
     last_store_contact: Option<Instant>,
     members: BTreeMap<NodeName, Member>,
-    /// Names of the members by the random numbers of their processes.
-    lives: BTreeMap<u64, NodeName>,
-    /// Members between which and this node heartbeats pass at regular times, or did lately.
+    /// Names of the members by process ID.
+    nodes_by_process: BTreeMap<u64, NodeName>,
+    /// Members that exchange heartbeats with this node at regular intervals, or did so recently.
     active: BTreeSet<NodeName>,
-    /// Members that too few of their neighbours have found silent.
-    suspects: BTreeSet<NodeName>,
-    /// The members that are not out, by zone; made anew when that changes.
+    /// Members that have been accused but not excluded yet.
+    accused: BTreeSet<NodeName>,
+    /// The members that are not excluded, by zone. Rebuilt when stale.
     zones: Zones,
     are_zones_stale: bool,
-    /// Whether all nodes were neighbours of all when the neighbours were chosen last.
+    /// Whether the neighbours formed a full mesh when they were last chosen.
     was_full_mesh: bool,
-    /// Zones between which and this node nothing passes.
-    cut: BTreeSet<Locality>,
+    /// Zones that are unreachable from this node.
+    unreachable_zones: BTreeSet<Locality>,
     digests: Digests,
     own_contribution: u64,
-    /// Since when the digests of a bucket differ from those of others, and when its records were asked for last.
+    /// For each bucket, since when its digest has differed from a received one, and when its records were
+    /// last requested.
     differing: [(Option<Instant>, Option<Instant>); BUCKETS as usize],
-    pending: PendingNews,
+    pending: PendingUpdates,
     joining: Joining,
-    /// Who has found this node silent.
+    /// Processes that have accused this node.
     own_accusers: BTreeSet<u64>,
     random: SmallRng,
     first_tick_at: Option<Instant>,
     last_tick_at: Option<Instant>,
     gossip_next_at: Option<Instant>,
     forget_next_at: Option<Instant>,
-    notes: Vec<MembershipEvent>,
+    events: Vec<MembershipEvent>,
     has_changed: bool,
-    /// Whether what has changed concerns requests that are sent now.
+    /// Whether a pending change affects the routing of new requests.
     is_urgent: bool,
 }
 
 impl Membership {
-    /// The membership of a process that knows only itself.
+    /// A membership that contains only this node.
     #[must_use]
     pub fn new(settings: MembershipSettings, own: MemberRecord) -> Self {
         let mut membership = Self {
@@ -96,32 +97,32 @@
             own_store_contact: None,
             last_store_contact: None,
             members: BTreeMap::new(),
-            lives: BTreeMap::new(),
+            nodes_by_process: BTreeMap::new(),
             active: BTreeSet::new(),
-            suspects: BTreeSet::new(),
+            accused: BTreeSet::new(),
             zones: Zones::default(),
             are_zones_stale: false,
             was_full_mesh: false,
-            cut: BTreeSet::new(),
+            unreachable_zones: BTreeSet::new(),
             digests: Digests::new(),
             own_contribution: 0,
             differing: [(None, None); BUCKETS as usize],
-            pending: PendingNews::default(),
+            pending: PendingUpdates::default(),
             joining: Joining::default(),
             own_accusers: BTreeSet::new(),
             first_tick_at: None,
             last_tick_at: None,
             gossip_next_at: None,
             forget_next_at: None,
-            notes: Vec::new(),
+            events: Vec::new(),
             has_changed: true,
             is_urgent: true,
         };
-        membership.settle_own();
+        membership.refresh_own();
         membership
     }
 
-    /// This node's word of itself.
+    /// This node's own record.
     #[must_use]
     pub const fn own(&self) -> &MemberRecord {
         &self.own
@@ -132,42 +133,43 @@
         self.members.values().filter(|member| !member.is_retired()).map(Member::view)
     }
 
-    /// The records of the nodes that can be reached.
+    /// The records of the reachable nodes.
     pub fn reachable(&self) -> impl Iterator<Item = &MemberRecord> {
         let reachable = self.members.values().filter(|member| member.reachability == Reachability::Reachable);
         reachable.map(|member| &member.record)
     }
 
-    /// The node whose record has this order, and the service of its back end.
+    /// The node whose record has this version, and the service of its back end.
     #[must_use]
     pub fn back_end_of(&self, order: RecordOrder) -> Option<(&NodeName, &ServiceName)> {
         let record = &self.member_of(order)?.record;
         Some((&record.node, &record.back_end.as_ref()?.service))
     }
 
-    /// The record of this order, as it was told by its node.
+    /// The record with this version.
     #[must_use]
     pub fn record_of(&self, order: RecordOrder) -> Option<&MemberRecord> {
         self.member_of(order).map(|member| &member.record)
     }
 
     fn member_of(&self, order: RecordOrder) -> Option<&Member> {
-        let member = self.members.get(self.lives.get(&order.life)?)?;
+        let member = self.members.get(self.nodes_by_process.get(&order.life)?)?;
         (member.record.order() == order).then_some(member)
     }
 
-    /// Whether the node can be reached, as far as it is known at all.
+    /// Whether the node is known and reachable.
     fn is_reachable(&self, node: &NodeName) -> bool {
         self.members.get(node).is_some_and(|member| member.reachability == Reachability::Reachable)
     }
 
-    /// Count of the other nodes that can be reached.
+    /// Number of other nodes that are reachable.
     #[must_use]
     pub fn reachable_count(&self) -> usize {
         self.reachable().count()
     }
 
-    /// Where the first `count` of the nodes that run and can be reached take datagrams, in an order that all nodes share; absent for this one.
+    /// Control addresses of the first `count` running, reachable nodes, in an order that is the same on all
+    /// nodes; `None` stands for this node.
     #[must_use]
     pub fn first_ranked(&self, count: usize) -> Vec<Option<SocketAddr>> {
         let others = self.members.values().filter(|member| {
@@ -180,58 +182,60 @@
         ranked.into_iter().map(|(_, place)| place).collect()
     }
 
-    /// Whether a record or the reachability of a node has changed since this was asked last.
+    /// Whether a record or the reachability of a node has changed since the last call.
     pub const fn take_changed(&mut self) -> bool {
         self.is_urgent = false;
         std::mem::replace(&mut self.has_changed, false)
     }
 
-    /// The same, but only if a node that took requests takes none any more: other changes can wait for the next tick.
+    /// Like [`take_changed`](Self::take_changed), but only if a change affects the routing of new requests,
+    /// such as a node that became unreachable or stopped accepting requests. Other changes can wait for the
+    /// next tick.
     pub const fn take_urgent_change(&mut self) -> bool {
         self.is_urgent && self.take_changed()
     }
 
-    /// What was found out since this was asked last.
+    /// Takes the events recorded since the last call.
     pub fn take_events(&mut self) -> Vec<MembershipEvent> {
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.events)
     }
 
-    /// Sets the load told from now on.
+    /// Sets the load that heartbeats report.
     pub const fn set_load(&mut self, load: LoadReport) {
         self.load = load;
     }
 
-    /// Sets the version of the configuration in force, and tells at once some of those that are not known to hold it:
-    /// everybody who learns of it does the same.
+    /// Sets the version of the active configuration and announces it immediately to some of the nodes that
+    /// are not known to hold it. Each node that activates the version does the same.
     pub fn set_version(&mut self, now: Instant, version: Version) -> Vec<Outgoing> {
         if self.version >= Some(version) {
             return Vec::new();
         }
         self.version = Some(version);
-        let told = self.behind(now, version);
-        let heartbeats = told.into_iter();
+        let targets = self.announcement_targets(now, version);
+        let heartbeats = targets.into_iter();
         heartbeats.filter_map(|node| self.heartbeat_to(now, &node, None, false)).collect()
     }
 
-    /// Takes in that the store itself has answered this node.
+    /// Records a response from the store to this node.
     pub fn on_store_response(&mut self, now: Instant) {
         self.own_store_contact = Some(now);
         self.last_store_contact = Some(now);
     }
 
-    /// When the store itself answered this node last.
+    /// When the store last responded to this node.
     #[must_use]
     pub const fn own_store_contact(&self) -> Option<Instant> {
         self.own_store_contact
     }
 
-    /// The latest moment at which any node is known here to have heard from the store.
+    /// Latest time at which any node is known to have received a response from the store.
     #[must_use]
     pub const fn last_store_contact(&self) -> Option<Instant> {
         self.last_store_contact
     }
 
-    /// Sets what is said of the back end, and tells it at once.
+    /// Sets the back end in this node's record and publishes the change immediately.
     pub fn set_back_end(&mut self, now: Instant, back_end: Option<BackEndRecord>) -> Vec<Outgoing> {
         if self.own.back_end == back_end {
             return Vec::new();
@@ -240,7 +244,7 @@
         self.change_own(now)
     }
 
-    /// Sets the plans that this node tells as a coordinator of rollouts, and tells them at once.
+    /// Sets the plans that this node publishes as a coordinator of rollouts, and publishes them immediately.
     pub fn set_rollouts(&mut self, now: Instant, plans: Vec<RolloutPlan>) -> Vec<Outgoing> {
         if self.own.rollouts == plans {
             return Vec::new();
@@ -249,7 +253,7 @@
         self.change_own(now)
     }
 
-    /// Sets the evacuations that this node has read from the store, and tells them at once.
+    /// Sets the evacuations that this node has read from the store, and publishes them immediately.
     pub fn set_evacuations(&mut self, now: Instant, evacuations: Evacuations) -> Vec<Outgoing> {
         if self.own.evacuations == evacuations {
             return Vec::new();
@@ -258,7 +262,7 @@
         self.change_own(now)
     }
 
-    /// Addresses of the other nodes that coordinate the rollout of `service`.
+    /// Control addresses of the other nodes that coordinate the rollout of `service`.
     #[must_use]
     pub fn coordinators_of(&self, service: &ServiceName) -> Vec<SocketAddr> {
         let is_coordinator = |record: &&MemberRecord| {
@@ -267,7 +271,7 @@
         self.reachable().filter(is_coordinator).map(|record| record.control).collect()
     }
 
-    /// Sets the phase of this process, and tells it at once.
+    /// Sets the phase of this process and publishes it immediately.
     pub fn set_phase(&mut self, now: Instant, phase: MemberPhase) -> Vec<Outgoing> {
         if self.own.phase == phase {
             return Vec::new();
@@ -278,73 +282,75 @@
 
     fn change_own(&mut self, now: Instant) -> Vec<Outgoing> {
         self.own.sequence += 1;
-        self.settle_own();
-        self.tell_own(now)
+        self.refresh_own();
+        self.publish_own(now)
     }
 
-    /// Tells the neighbours of the own record, and has it passed on.
-    fn tell_own(&mut self, now: Instant) -> Vec<Outgoing> {
+    /// Sends the own record to the neighbours and gossips it.
+    fn publish_own(&mut self, now: Instant) -> Vec<Outgoing> {
         let neighbours: Vec<NodeName> = self.active.iter().cloned().collect();
         let heartbeats = neighbours.into_iter();
         let mut outgoing: Vec<Outgoing> =
             heartbeats.filter_map(|node| self.heartbeat_to(now, &node, None, false)).collect();
         self.pending.add_own();
-        outgoing.extend(self.flush_news(Reach::Origin));
+        outgoing.extend(self.flush_updates(UpdateRole::Origin));
         outgoing
     }
 
-    /// Takes a higher start count than that of an earlier process of this node.
-    fn rise_above(&mut self, incarnation: Incarnation) {
+    /// Takes a higher start count than an earlier process of this node.
+    fn raise_incarnation(&mut self, incarnation: Incarnation) {
         self.own.incarnation = Incarnation(incarnation.0 + 1);
         self.own.sequence += 1;
-        self.settle_own();
+        self.refresh_own();
     }
 
-    /// Brings what follows from the own record up to date.
-    fn settle_own(&mut self) {
+    /// Updates the state derived from the own record.
+    fn refresh_own(&mut self) {
         let contribution =
             if self.own.phase == MemberPhase::Left { 0 } else { contribution_of(&self.own.order()) };
         self.digests.replace(bucket_of(self.own_rank), self.own_contribution, contribution);
         self.own_contribution = contribution;
         self.own_accusers.clear();
-        self.note_changed(true);
+        self.mark_changed(true);
     }
 
-    /// Brings what follows from a member's record and from what was heard of it up to date.
-    fn settle(&mut self, now: Instant, node: &NodeName) {
+    /// Updates the state derived from a member: its reachability and its contribution to the digests.
+    fn refresh_member(&mut self, now: Instant, node: &NodeName) {
         let is_full_mesh = self.is_full_mesh();
         let Some(member) = self.members.get_mut(node) else { return };
-        let is_zone_cut = self.cut.contains(&member.record.locality);
+        let is_zone_unreachable = self.unreachable_zones.contains(&member.record.locality);
         let was_usable = member.reachability == Reachability::Reachable;
-        let has_changed = member.update_reachability(now, is_zone_cut);
-        let is_left_out = member.is_out() || (is_full_mesh && member.reachability == Reachability::Silent);
-        let contribution = member.wanted_contribution(is_left_out);
+        let has_changed = member.update_reachability(now, is_zone_unreachable);
+        let is_omitted =
+            member.is_excluded() || (is_full_mesh && member.reachability == Reachability::Silent);
+        let contribution = member.expected_contribution(is_omitted);
         self.digests.replace(bucket_of(member.rank), member.contribution, contribution);
         member.contribution = contribution;
         if has_changed {
-            // Which nodes of another zone are looked at depends on which ones are silent.
+            // Which nodes of another zone are probed depends on which ones are silent.
             self.are_zones_stale |= member.watch().is_some();
-            self.note_changed(was_usable);
+            self.mark_changed(was_usable);
         }
     }
 
-    fn note_changed(&mut self, is_urgent: bool) {
+    fn mark_changed(&mut self, is_urgent: bool) {
         self.has_changed = true;
         self.is_urgent |= is_urgent;
     }
 
-    fn note(&mut self, note: MembershipEvent) {
-        if self.notes.len() < MAX_NOTES {
-            self.notes.push(note);
+    fn record_event(&mut self, event: MembershipEvent) {
+        if self.events.len() < MAX_EVENTS {
+            self.events.push(event);
         }
     }
 
-    /// Whether all nodes are neighbours of all.
+    /// Whether every node is a neighbour of every other node.
     fn is_full_mesh(&self) -> bool {
-        self.zones.count() + self.joining.young_count() < self.settings.full_mesh_up_to
+        self.zones.count() + self.joining.recent_candidate_count() < self.settings.full_mesh_up_to
     }
 
-    /// A heartbeat to a member; `to` is where its own came from, if that is answered.
+    /// Creates a heartbeat to a member. `to` overrides the destination with the source address of the
+    /// heartbeat that it responds to.
     fn heartbeat_to(
         &mut self,
         now: Instant,
@@ -352,7 +358,7 @@
         to: Option<SocketAddr>,
         wants_response: bool,
     ) -> Option<Outgoing> {
-        let configuration = self.configuration_word(now);
+        let configuration = self.configuration_status(now);
         let digests = self.digests.take_next();
         let member = self.members.get_mut(node)?;
         if member.is_retired() {
@@ -360,15 +366,15 @@
         }
         let watch = member.watch();
         let heartbeat = Heartbeat {
-            number: member.count_sent(now),
-            word: member.word_for(&self.own, member.is_neighbour(now)),
+            number: member.next_number(now),
+            word: member.record_for(&self.own, member.is_neighbour(now)),
             echo: member.echo(),
             held: Some(member.record.order()),
             load: self.load,
             configuration,
             digests,
             watch_millis: watch.map_or(0, |watch| millis(watch.interval)),
-            accusers: member.accusers_out(),
+            accusers: member.excluding_accusers(),
             wants_response,
             wants_records: false,
         };
@@ -376,15 +382,15 @@
         Some(Outgoing { to, datagram: Datagram::Heartbeat(Box::new(heartbeat)) })
     }
 
-    /// A word to somebody of whom nothing is known.
-    fn introduction_to(&mut self, now: Instant, to: SocketAddr, wants_records: bool) -> Outgoing {
+    /// Creates a heartbeat to a node whose record is unknown.
+    fn introductory_heartbeat(&mut self, now: Instant, to: SocketAddr, wants_records: bool) -> Outgoing {
         let heartbeat = Heartbeat {
             number: 0,
-            word: crate::heartbeat::SenderWord::Whole(Box::new(self.own.clone())),
+            word: crate::heartbeat::SenderRecord::Full(Box::new(self.own.clone())),
             echo: None,
             held: None,
             load: self.load,
-            configuration: self.configuration_word(now),
+            configuration: self.configuration_status(now),
             digests: self.digests.take_next(),
             watch_millis: 0,
             accusers: Vec::new(),
@@ -394,16 +400,16 @@
         Outgoing { to, datagram: Datagram::Heartbeat(Box::new(heartbeat)) }
     }
 
-    fn configuration_word(&self, now: Instant) -> ConfigurationWord {
+    fn configuration_status(&self, now: Instant) -> ConfigurationStatus {
         let age = self.last_store_contact.map(|at| now.saturating_duration_since(at).as_millis());
-        ConfigurationWord {
+        ConfigurationStatus {
             version: self.version,
             store_age_millis: age.map(|millis| u32::try_from(millis).unwrap_or(u32::MAX)),
         }
     }
 }
 
-/// Whether a node that says this takes requests for its back end.
+/// Whether the node accepts requests for its back end.
 fn takes_requests(record: &MemberRecord) -> bool {
     let is_ready = record.back_end.as_ref().is_some_and(|back_end| back_end.state == BackEndState::Ready);
     is_ready && record.phase == MemberPhase::Running
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -1,4 +1,4 @@
-//! What is due as time passes.
+//! Periodic tasks of the membership.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::{Duration, Instant};
@@ -6,71 +6,75 @@
 use rand::RngExt;
 use umberpond_model::{Locality, NodeName};
 
-use super::spread::Reach;
+use super::gossip::UpdateRole;
 use super::{Membership, Outgoing};
 use crate::digest::bucket_of;
+use crate::event::MembershipEvent;
 use crate::member::{Member, Reachability};
 use crate::neighbours::{Zones, neighbours};
-use crate::note::MembershipEvent;
 use crate::record::MemberPhase;
 
-/// Time between two ticks from which on this process counts as not having run: it judges nobody by what it missed.
-const STALLED_FROM: Duration = Duration::from_millis(400);
-/// Time for which a node that has left is remembered, so that a late datagram does not bring it back.
-const REMEMBER_LEFT: Duration = Duration::from_secs(30);
-/// Time between two looks for nodes to be forgotten.
+/// Time between two ticks from which on this process counts as stalled, so that it does not judge other nodes
+/// by the heartbeats that it missed.
+const STALL_THRESHOLD: Duration = Duration::from_millis(400);
+/// Time for which a node that has left or is retired is remembered, so that a late datagram does not add it
+/// again.
+const DEPARTED_RETENTION: Duration = Duration::from_secs(30);
+/// Interval between two searches for members to forget.
 const FORGET_INTERVAL: Duration = Duration::from_secs(1);
-/// Nodes of a zone that have to be silent, with none that is not, for the zone to count as cut off.
-const SILENT_IN_CUT_ZONE: usize = 2;
+/// Minimum number of silent nodes in a zone, with no responsive ones, for the zone to count as unreachable.
+const MIN_SILENT_NODES: usize = 2;
 
-/// What this node itself finds of the nodes of one zone that it watches.
+/// Number of silent and responsive nodes among the monitored nodes of a zone.
 #[derive(Debug, Default, Clone, Copy)]
-struct ZoneFinding {
+struct ZoneObservation {
     silent: usize,
-    heard: usize,
+    responsive: usize,
 }
 
-impl ZoneFinding {
-    const fn is_cut(self) -> bool {
-        self.heard == 0 && self.silent >= SILENT_IN_CUT_ZONE
+impl ZoneObservation {
+    const fn is_unreachable(self) -> bool {
+        self.responsive == 0 && self.silent >= MIN_SILENT_NODES
     }
 }
 
 impl Membership {
-    /// Sends what is due. Call it several times in the shortest interval.
+    /// Runs the periodic tasks and returns the datagrams to send. Call this several times per heartbeat
+    /// interval.
     pub fn on_tick(&mut self, now: Instant) -> Vec<Outgoing> {
-        self.excuse_if_stalled(now);
-        self.refresh_neighbours(now);
-        self.judge_neighbours(now);
-        self.find_cut_zones(now);
+        self.reset_timeouts_if_stalled(now);
+        self.choose_neighbours(now);
+        self.update_reachabilities(now);
+        self.detect_unreachable_zones(now);
         let mut outgoing = self.accuse_silent(now);
         outgoing.extend(self.send_due(now));
         outgoing.extend(self.gossip(now));
-        outgoing.extend(self.flush_news(Reach::Relay));
-        outgoing.extend(self.call_strangers(now));
-        self.expire_suspects(now);
+        outgoing.extend(self.flush_updates(UpdateRole::Relay));
+        outgoing.extend(self.contact_candidates(now));
+        self.expire_accused(now);
         self.forget_old(now);
         outgoing
     }
 
-    /// After a time in which this process did not run, nobody is judged by what it did not hear meanwhile.
-    fn excuse_if_stalled(&mut self, now: Instant) {
+    /// If this process was stalled, resets the timeouts of the neighbours.
+    fn reset_timeouts_if_stalled(&mut self, now: Instant) {
         self.first_tick_at.get_or_insert(now);
         let last = self.last_tick_at.replace(now);
         let Some(stalled_for) = last.map(|at| now.saturating_duration_since(at)) else { return };
-        if stalled_for < STALLED_FROM {
+        if stalled_for < STALL_THRESHOLD {
             return;
         }
         for node in &self.active {
             if let Some(member) = self.members.get_mut(node) {
-                member.excuse(now);
+                member.reset_timeouts(now);
             }
         }
-        self.note(MembershipEvent::Stalled { stalled_for });
+        self.record_event(MembershipEvent::Stalled { stalled_for });
     }
 
-    /// Takes in that the machine was suspended for so long, which no clock of this core has counted: all that was heard is older by that. Nobody is judged by what was not heard
-    /// meanwhile, and the neighbours are asked for an answer at once.
+    /// Handles a suspension of the machine, during which the monotonic clock did not advance: ages all
+    /// recorded times by its duration. No node is judged by heartbeats missed meanwhile, and the neighbours
+    /// are asked for an immediate response.
     pub fn on_suspended(&mut self, now: Instant, suspended: Duration) {
         let aged = |at: Option<Instant>| at.map(|at| at.checked_sub(suspended).unwrap_or(at));
         self.own_store_contact = aged(self.own_store_contact);
@@ -80,8 +84,8 @@
         }
     }
 
-    /// Finds out anew whom this node watches, if the nodes that are not out have changed.
-    fn refresh_neighbours(&mut self, now: Instant) {
+    /// Chooses the neighbours again if the set of members that are not excluded has changed.
+    fn choose_neighbours(&mut self, now: Instant) {
         let is_stale = std::mem::take(&mut self.are_zones_stale);
         if !is_stale && self.is_full_mesh() == self.was_full_mesh {
             return;
@@ -105,70 +109,77 @@
         }
     }
 
-    /// Finds out anew which neighbours can be reached, and leaves those alone with which nothing is exchanged any more.
-    fn judge_neighbours(&mut self, now: Instant) {
+    /// Updates the reachability of the neighbours, and drops those with which no heartbeats are exchanged any
+    /// more.
+    fn update_reachabilities(&mut self, now: Instant) {
         let active: Vec<NodeName> = self.active.iter().cloned().collect();
         for node in active {
-            self.settle(now, &node);
-            let call_back = self.settings.call_back_interval;
-            let is_due =
-                self.members.get(&node).is_some_and(|member| member.interval(now, call_back).is_some());
+            self.refresh_member(now, &node);
+            let reconnect_interval = self.settings.reconnect_interval;
+            let is_due = self
+                .members
+                .get(&node)
+                .is_some_and(|member| member.interval(now, reconnect_interval).is_some());
             if !is_due {
                 self.active.remove(&node);
             }
         }
     }
 
-    fn zone_findings(&self, now: Instant) -> BTreeMap<&Locality, ZoneFinding> {
-        let mut findings: BTreeMap<&Locality, ZoneFinding> = BTreeMap::new();
+    fn observe_zones(&self, now: Instant) -> BTreeMap<&Locality, ZoneObservation> {
+        let mut observations: BTreeMap<&Locality, ZoneObservation> = BTreeMap::new();
         let watched = self.active.iter().filter_map(|node| self.members.get(node));
-        for member in watched.filter(|member| !member.is_out()) {
-            let finding = findings.entry(&member.record.locality).or_default();
-            match member.own_finding(now) {
-                Some(Reachability::Silent) => finding.silent += 1,
-                Some(_) => finding.heard += 1,
+        for member in watched.filter(|member| !member.is_excluded()) {
+            let observation = observations.entry(&member.record.locality).or_default();
+            match member.observed_reachability(now) {
+                Some(Reachability::Silent) => observation.silent += 1,
+                Some(_) => observation.responsive += 1,
                 None => {}
             }
         }
-        findings
+        observations
     }
 
-    /// A zone of which only silent nodes are known, though its own nodes have not found them silent, is cut off from here:
-    /// nobody in it can be reached. The same holds for the own zone, if this node itself is cut off.
-    fn find_cut_zones(&mut self, now: Instant) {
-        if self.is_full_mesh() && self.cut.is_empty() {
+    /// Detects unreachable zones. If all monitored nodes of a zone are silent but were not excluded by the
+    /// nodes of their own zone, the link to the zone is broken, and all its nodes are unreachable from here.
+    /// This also applies to the own zone, if this node itself is disconnected.
+    fn detect_unreachable_zones(&mut self, now: Instant) {
+        if self.is_full_mesh() && self.unreachable_zones.is_empty() {
             return;
         }
-        let findings = self.zone_findings(now);
-        let cut: BTreeSet<Locality> = findings
+        let observations = self.observe_zones(now);
+        let unreachable_zones: BTreeSet<Locality> = observations
             .iter()
-            .filter(|(_, finding)| finding.is_cut())
+            .filter(|(_, observation)| observation.is_unreachable())
             .map(|(locality, _)| (*locality).clone())
             .collect();
-        if cut == self.cut {
+        if unreachable_zones == self.unreachable_zones {
             return;
         }
-        let silent_in = |locality: &Locality| findings.get(locality).map_or(0, |finding| finding.silent);
-        let mut notes: Vec<MembershipEvent> = Vec::new();
-        for locality in cut.difference(&self.cut) {
+        let silent_in =
+            |locality: &Locality| observations.get(locality).map_or(0, |observation| observation.silent);
+        let mut events: Vec<MembershipEvent> = Vec::new();
+        for locality in unreachable_zones.difference(&self.unreachable_zones) {
             let silent = silent_in(locality);
-            notes.push(MembershipEvent::ZoneUnreachable { locality: locality.clone(), silent });
+            events.push(MembershipEvent::ZoneUnreachable { locality: locality.clone(), silent });
         }
-        for locality in self.cut.difference(&cut) {
-            notes.push(MembershipEvent::ZoneBack { locality: locality.clone() });
+        for locality in self.unreachable_zones.difference(&unreachable_zones) {
+            events.push(MembershipEvent::ZoneBack { locality: locality.clone() });
         }
-        let changed: BTreeSet<Locality> = cut.symmetric_difference(&self.cut).cloned().collect();
-        self.cut = cut;
-        notes.into_iter().for_each(|note| self.note(note));
-        let concerned = self.members.iter().filter(|(_, member)| changed.contains(&member.record.locality));
-        let nodes: Vec<NodeName> = concerned.map(|(node, _)| node.clone()).collect();
-        nodes.iter().for_each(|node| self.settle(now, node));
+        let changed: BTreeSet<Locality> =
+            unreachable_zones.symmetric_difference(&self.unreachable_zones).cloned().collect();
+        self.unreachable_zones = unreachable_zones;
+        events.into_iter().for_each(|event| self.record_event(event));
+        let affected = self.members.iter().filter(|(_, member)| changed.contains(&member.record.locality));
+        let nodes: Vec<NodeName> = affected.map(|(node, _)| node.clone()).collect();
+        nodes.iter().for_each(|node| self.refresh_member(now, node));
     }
 
-    /// Tells others of neighbours that are silent, unless it may be this node that hears nobody.
+    /// Accuses silent neighbours, unless all neighbours are silent, in which case this node itself may be
+    /// disconnected.
     fn accuse_silent(&mut self, now: Instant) -> Vec<Outgoing> {
-        let findings = self.zone_findings(now);
-        if findings.values().all(|finding| finding.heard == 0) {
+        let observations = self.observe_zones(now);
+        if observations.values().all(|observation| observation.responsive == 0) {
             return Vec::new();
         }
         let silent: Vec<NodeName> = self
@@ -182,27 +193,28 @@
         }
         for node in silent {
             let Some(member) = self.members.get_mut(&node) else { continue };
-            member.on_accused_by_own(now);
+            member.on_own_accusation_sent(now);
             let accusation = member.accusation(self.own.life);
             let silent_for = now.saturating_duration_since(member.known_since);
-            self.note(MembershipEvent::NeighbourSilent { node, silent_for });
-            // Nothing of it concerns this node itself, so there is no answer.
+            self.record_event(MembershipEvent::NeighbourSilent { node, silent_for });
+            // The accusation never concerns this node itself, so there is nothing to send.
             let _none = self.on_accusation(now, accusation);
         }
-        self.flush_news(Reach::Origin)
+        self.flush_updates(UpdateRole::Origin)
     }
 
     fn send_due(&mut self, now: Instant) -> Vec<Outgoing> {
-        let call_back = self.settings.call_back_interval;
+        let reconnect_interval = self.settings.reconnect_interval;
         let mut due = Vec::new();
         for node in &self.active {
             let Some(member) = self.members.get_mut(node) else { continue };
-            let Some(interval) = member.interval(now, call_back).filter(|_| member.send_next_at <= now)
+            let Some(interval) =
+                member.interval(now, reconnect_interval).filter(|_| member.send_next_at <= now)
             else {
                 continue;
             };
             member.send_next_at = now + interval;
-            due.push((node.clone(), member.needs_answer(now)));
+            due.push((node.clone(), member.needs_response(now)));
         }
         let heartbeats = due.into_iter();
         heartbeats
@@ -210,8 +222,8 @@
             .collect()
     }
 
-    /// A heartbeat to a node of the own zone that is no neighbour: what every heartbeat carries reaches all of the zone so
-    /// in few hops, however long the ring is.
+    /// A heartbeat to a random node of the own zone that is not a neighbour. The load, configuration and
+    /// digests that heartbeats carry so reach the whole zone in few hops, even if the ring is long.
     fn gossip(&mut self, now: Instant) -> Option<Outgoing> {
         if self.is_full_mesh() || self.gossip_next_at.is_some_and(|at| at > now) {
             return None;
@@ -226,10 +238,10 @@
         if is_wanted { self.heartbeat_to(now, &node, None, false) } else { None }
     }
 
-    fn expire_suspects(&mut self, now: Instant) {
+    fn expire_accused(&mut self, now: Instant) {
         let lifetime = self.settings.accusation_lifetime;
         let members = &mut self.members;
-        self.suspects.retain(|node| {
+        self.accused.retain(|node| {
             members.get_mut(node).is_some_and(|member| member.expire_accusations(now, lifetime))
         });
     }
@@ -242,24 +254,25 @@
         let forget_after = self.settings.forget_after;
         let is_old = |member: &Member| {
             let limit = if member.record.phase == MemberPhase::Left || member.is_retired() {
-                REMEMBER_LEFT
+                DEPARTED_RETENTION
             } else {
                 forget_after
             };
-            let is_silent = member.is_out() || member.own_finding(now) == Some(Reachability::Silent);
+            let is_silent =
+                member.is_excluded() || member.observed_reachability(now) == Some(Reachability::Silent);
             is_silent && now.saturating_duration_since(member.known_since) >= limit
         };
         let old = self.members.iter().filter(|(_, member)| is_old(member));
         let nodes: Vec<(NodeName, u64)> =
             old.map(|(node, member)| (node.clone(), member.record.life)).collect();
         for (node, life) in nodes {
-            // What it added to its bucket's digest goes with it.
+            // Remove its hash from the bucket's digest.
             if let Some(member) = self.members.remove(&node) {
                 self.digests.replace(bucket_of(member.rank), member.contribution, 0);
             }
-            self.lives.remove(&life);
+            self.nodes_by_process.remove(&life);
             self.active.remove(&node);
-            self.suspects.remove(&node);
+            self.accused.remove(&node);
             self.are_zones_stale = true;
         }
     }
--- a/crates/membership/src/neighbours.rs
+++ b/crates/membership/src/neighbours.rs
@@ -1,8 +1,9 @@
-//! Whom a node watches.
+//! Selects the nodes that a node monitors.
 //!
-//! The nodes of a zone form a ring, in an order that is the same on every node; each one watches a few on either side of
-//! it, so each is watched by as many. Of every other zone it watches one, to know whether anything passes there; where that
-//! one is silent, it looks at the next ones before it takes the zone for cut off.
+//! The nodes of a zone form a ring, in an order that is the same on all nodes. Each node monitors a few on
+//! either side, so that as many monitor it. In every other zone it monitors one node, to detect whether the
+//! zone is reachable. If that node is silent, it probes the next ones before it considers the zone
+//! unreachable.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -12,10 +13,10 @@
 use crate::member::{Member, Reachability, Watch};
 use crate::settings::MembershipSettings;
 
-/// Nodes of another zone at which a node looks at most.
-const MAX_LOOKS_AT_A_ZONE: usize = 3;
+/// Maximum number of nodes probed in another zone.
+const MAX_PROBES_PER_ZONE: usize = 3;
 
-/// The nodes that are not out, by zone, in the order of the ring.
+/// The nodes that are not excluded, by zone, in ring order.
 #[derive(Debug, Default)]
 pub(crate) struct Zones {
     pub(crate) near: Vec<NodeName>,
@@ -25,7 +26,7 @@
 impl Zones {
     pub(crate) fn of(own: &Locality, members: &BTreeMap<NodeName, Member>) -> Self {
         let mut by_zone: BTreeMap<&Locality, Vec<(u64, &NodeName)>> = BTreeMap::new();
-        for (node, member) in members.iter().filter(|(_, member)| !member.is_out()) {
+        for (node, member) in members.iter().filter(|(_, member)| !member.is_excluded()) {
             by_zone.entry(&member.record.locality).or_default().push((member.rank, node));
         }
         let mut zones = Self::default();
@@ -45,13 +46,13 @@
         self.near.len() + self.far.values().map(Vec::len).sum::<usize>()
     }
 
-    /// All nodes, nearest first.
+    /// All nodes, those of the own zone first.
     pub(crate) fn all(&self) -> impl Iterator<Item = &NodeName> {
         self.near.iter().chain(self.far.values().flatten())
     }
 }
 
-/// The nodes that a node of rank `own_rank` watches, and how.
+/// The nodes that a node with rank `own_rank` monitors, and how.
 pub(crate) fn neighbours(
     settings: &MembershipSettings,
     own_rank: u64,
@@ -61,56 +62,56 @@
 ) -> BTreeMap<NodeName, Watch> {
     let near = watch(settings.interval, settings.missed_intervals, true);
     if is_full_mesh {
-        // Everybody finds out for itself, so nobody needs to be told.
-        let near = Watch { tells_others: false, ..near };
+        // Each node detects failures itself, so accusations are not needed.
+        let near = Watch { sends_accusations: false, ..near };
         return zones.all().map(|node| (node.clone(), near)).collect();
     }
     let far = watch(settings.far_interval, settings.far_missed_intervals, false);
-    let next_look = watch(settings.interval, settings.missed_intervals, false);
+    let next_probe = watch(settings.interval, settings.missed_intervals, false);
     let mut chosen = BTreeMap::new();
     for nodes in zones.far.values() {
-        let looks = looks_at_zone(own_rank, zones.near.len(), nodes, &zones.near, members);
-        for (index, node) in looks.into_iter().enumerate() {
-            chosen.insert(node.clone(), if index == 0 { far } else { next_look });
+        let probes = zone_probes(own_rank, zones.near.len(), nodes, &zones.near, members);
+        for (index, node) in probes.into_iter().enumerate() {
+            chosen.insert(node.clone(), if index == 0 { far } else { next_probe });
         }
     }
-    let wanted = settings.neighbours_a_side * 2;
-    let ring = around(own_rank, &zones.near, settings.neighbours_a_side, members);
+    let wanted = settings.neighbours_per_side * 2;
+    let ring = ring_neighbours(own_rank, &zones.near, settings.neighbours_per_side, members);
     let missing = wanted.saturating_sub(ring.len());
     chosen.extend(ring.into_iter().map(|node| (node.clone(), near)));
     if missing > 0 {
-        // A zone too small to find its own silent nodes is helped by others.
+        // A zone too small to detect its own silent nodes is monitored by nodes of other zones.
         let mut others: Vec<NodeName> = zones.far.values().flatten().cloned().collect();
         others.sort_unstable_by_key(|node| (rank_in(members, node), node.clone()));
-        let helping = around(own_rank, &others, missing.div_ceil(2), members);
+        let helping = ring_neighbours(own_rank, &others, missing.div_ceil(2), members);
         chosen.extend(helping.into_iter().map(|node| (node.clone(), near)));
     }
     chosen
 }
 
-const fn watch(interval: Duration, missed: u32, tells_others: bool) -> Watch {
-    Watch { interval, silence: interval.saturating_mul(missed), tells_others }
+const fn watch(interval: Duration, missed: u32, sends_accusations: bool) -> Watch {
+    Watch { interval, silence_timeout: interval.saturating_mul(missed), sends_accusations }
 }
 
-/// The `a_side` nodes on each side of `own_rank` in a ring.
-fn around<'a>(
+/// The `per_side` nodes on each side of `own_rank` in the ring.
+fn ring_neighbours<'a>(
     own_rank: u64,
     ring: &'a [NodeName],
-    a_side: usize,
+    per_side: usize,
     members: &BTreeMap<NodeName, Member>,
 ) -> Vec<&'a NodeName> {
     let count = ring.len();
-    if count <= a_side * 2 {
+    if count <= per_side * 2 {
         return ring.iter().collect();
     }
     let after = ring.partition_point(|node| rank_in(members, node) < own_rank);
-    let before = after + count - a_side;
-    (0..a_side * 2).map(|step| &ring[(before + step) % count]).collect()
+    let before = after + count - per_side;
+    (0..per_side * 2).map(|step| &ring[(before + step) % count]).collect()
 }
 
-/// The nodes of another zone at which this node looks: the one at its own place in the ring, and the next ones as long
-/// as those before are silent.
-fn looks_at_zone<'a>(
+/// The nodes of another zone that this node probes: the one at its own relative position in the ring, and the
+/// next ones as long as the previous ones are silent.
+fn zone_probes<'a>(
     own_rank: u64,
     near_count: usize,
     nodes: &'a [NodeName],
@@ -119,16 +120,16 @@
 ) -> Vec<&'a NodeName> {
     let place = near.partition_point(|node| rank_in(members, node) < own_rank);
     let first = place * nodes.len() / (near_count + 1);
-    let mut looks = Vec::new();
-    for step in 0..nodes.len().min(MAX_LOOKS_AT_A_ZONE) {
+    let mut probes = Vec::new();
+    for step in 0..nodes.len().min(MAX_PROBES_PER_ZONE) {
         let node = &nodes[(first + step) % nodes.len()];
-        looks.push(node);
+        probes.push(node);
         let is_silent = members.get(node).is_some_and(|member| member.reachability == Reachability::Silent);
         if !is_silent {
             break;
         }
     }
-    looks
+    probes
 }
 
 fn rank_in(members: &BTreeMap<NodeName, Member>, node: &NodeName) -> u64 {
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -1,4 +1,4 @@
-//! What a node says of itself.
+//! The record that a node publishes about itself.
 
 use std::net::SocketAddr;
 
@@ -7,99 +7,100 @@
 use umberpond_model::{Evacuations, Incarnation, Locality, NodeName, ReleaseName, ServiceName};
 use umberpond_rollouts::RolloutPlan;
 
-/// How far a node's process is in its life.
+/// Lifecycle phase of a node's process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum MemberPhase {
-    /// It serves.
+    /// It is serving requests.
     Running,
-    /// It was told to stop: it takes no new work for its back end.
+    /// It was asked to stop: it accepts no new requests for its back end.
     Leaving,
     /// It has stopped.
     Left,
 }
 
-/// State of a back end by its node's word.
+/// State of a back end as reported by its node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Encode, Decode)]
 pub enum BackEndState {
-    /// It takes new work.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it holds and takes nothing new.
+    /// It finishes its current requests and accepts no new ones.
     Draining,
-    /// It can't be reached by its node.
+    /// Its node can't reach it.
     Unreachable,
 }
 
-/// A back end by its node's word.
+/// A back end as reported by its node.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct BackEndRecord {
-    /// Identity of its present life.
+    /// Identity of its current process.
     pub instance: String,
-    /// Service that it serves.
+    /// Service that it belongs to.
     pub service: ServiceName,
-    /// Version of its software; absent if it has not told it to this process.
+    /// Version of its software; absent if it has not reported it to this process.
     pub release: Option<ReleaseName>,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     pub slots: u32,
-    /// Whether it takes new work.
+    /// Whether it accepts new requests.
     pub state: BackEndState,
-    /// Whether it is slow because it has just started.
+    /// Whether it is slow because it has recently started.
     pub is_cold: bool,
 }
 
-/// What a node says of itself. Only the node itself writes it.
+/// What a node publishes about itself. Only the node itself writes it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Encode, Decode)]
 pub struct MemberRecord {
     /// The node.
     pub node: NodeName,
-    /// Random number of the process, by which a node knows its own word from that of an earlier process.
+    /// Random ID of the process, by which a node distinguishes its own record from that of an earlier
+    /// process.
     pub life: u64,
-    /// Start count: higher than that of every earlier process of the node that anybody remembers.
+    /// Start count: higher than that of every earlier process of the node that any other node remembers.
     pub incarnation: Incarnation,
-    /// Count of the changes in this incarnation.
+    /// Number of changes in this incarnation.
     pub sequence: u64,
     /// Address for datagrams and for control connections.
     pub control: SocketAddr,
     /// Address for requests to the back end.
     pub inbound: SocketAddr,
-    /// Where it runs.
+    /// Locality of the node.
     pub locality: Locality,
-    /// How far its process is in its life.
+    /// Lifecycle phase of the process.
     pub phase: MemberPhase,
-    /// The back end beside it, if one is known.
+    /// The node's back end, if known.
     pub back_end: Option<BackEndRecord>,
-    /// The plans of rollouts that the node tells, if it is one of those that coordinate them.
+    /// Rollout plans that the node publishes, if it is one of their coordinators.
     pub rollouts: Vec<RolloutPlan>,
-    /// The evacuated zones, if the node has read them from the store; otherwise revision 0 without any.
+    /// The evacuated zones, if the node has read them from the store; otherwise revision 0 with no zones.
     pub evacuations: Evacuations,
 }
 
-/// Order of the records of one node; the later one wins.
+/// Version of a node's record: its place in the order of all records of the node. The highest one wins.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct RecordOrder {
     /// Start count of the process.
     pub incarnation: Incarnation,
-    /// Breaks the tie of two processes that took the same start count.
+    /// Breaks the tie between two processes that took the same start count.
     pub life: u64,
-    /// Count of the changes.
+    /// Number of changes.
     pub sequence: u64,
 }
 
 impl MemberRecord {
-    /// Position among all records of the node.
+    /// Version of the record, which orders it among all records of the node.
     #[must_use]
     pub const fn order(&self) -> RecordOrder {
         RecordOrder { incarnation: self.incarnation, life: self.life, sequence: self.sequence }
     }
 }
 
-/// How to reach a node of which nothing else is known; what a node writes of itself to the store.
+/// A node's entry in the store, from which other nodes learn its address.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DirectoryEntry {
     /// The node.
     pub node: NodeName,
-    /// Its address for datagrams.
+    /// Its address for datagrams and control connections.
     pub control: SocketAddr,
-    /// Where it runs; absent in entries of versions that did not write it.
+    /// Its locality; absent in entries written by versions that did not include it.
     #[serde(default)]
     pub locality: Option<Locality>,
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Several memberships on a virtual clock, with datagrams that are delayed, lost or cut one way.
+//! Simulated cluster: several memberships on a virtual clock, with datagrams that are delayed, lost or
+//! blocked in one direction.
 
 #![allow(dead_code, reason = "not every test uses every part")]
 
@@ -30,27 +31,27 @@
     SocketAddr::from(([10, 0, high, low], 7000))
 }
 
-/// The number of the node at this address.
+/// The number of the node at `address`.
 fn number_at(address: SocketAddr) -> usize {
     let std::net::IpAddr::V4(ip) = address.ip() else { panic!("not an address of a node: {address}") };
     let [_, _, high, low] = ip.octets();
     usize::from(u16::from_be_bytes([high, low]))
 }
 
-/// Nodes take turns over the zones.
+/// Distributes the nodes over the zones round-robin.
 pub fn locality(number: usize, zones: usize) -> Locality {
     Locality { region: name("north"), zone: name(&format!("zone-{}", number % zones)) }
 }
 
-fn record(named: usize, number: usize, life: u64, zones: usize) -> MemberRecord {
+fn record(name_number: usize, number: usize, life: u64, zones: usize) -> MemberRecord {
     MemberRecord {
-        node: node(named),
+        node: node(name_number),
         life,
         incarnation: Incarnation(1),
         sequence: 0,
         control: address(number),
         inbound: address(number),
-        locality: locality(named, zones),
+        locality: locality(name_number, zones),
         phase: MemberPhase::Running,
         back_end: None,
         rollouts: Vec::new(),
@@ -69,102 +70,102 @@
     }
 }
 
-struct Flying {
+struct InTransit {
     from: SocketAddr,
     to: SocketAddr,
     datagram: Datagram,
 }
 
-pub struct World {
+pub struct Cluster {
     pub now: Instant,
     start: Instant,
     pub nodes: BTreeMap<usize, Membership>,
-    /// Datagrams on their way, by the time of arrival and their count.
-    flying: BTreeMap<(Instant, u64), Flying>,
+    /// Datagrams in transit, by arrival time and sequence number.
+    in_transit: BTreeMap<(Instant, u64), InTransit>,
     random: ChaCha8Rng,
-    /// Share of the datagrams that are lost.
+    /// Fraction of the datagrams that are lost.
     pub loss: f64,
-    /// Directions in which nothing passes.
-    pub cut: BTreeSet<(usize, usize)>,
+    /// Pairs of sender and receiver between which no datagrams pass.
+    pub blocked_links: BTreeSet<(usize, usize)>,
     pub datagrams: u64,
     pub bytes: u64,
     pub bytes_between_zones: u64,
     pub bytes_by_kind: BTreeMap<&'static str, u64>,
-    notes: Vec<(usize, MembershipEvent)>,
-    lives: u64,
+    events: Vec<(usize, MembershipEvent)>,
+    process_count: u64,
     zones: usize,
-    /// Nodes whose processes do not run for now; what is sent to them waits.
-    pub frozen: BTreeSet<usize>,
+    /// Nodes whose processes are stalled; datagrams to them wait.
+    pub stalled: BTreeSet<usize>,
 }
 
-impl World {
+impl Cluster {
     pub fn new(seed: u64) -> Self {
         let now = Instant::now();
         Self {
             now,
             start: now,
             nodes: BTreeMap::new(),
-            flying: BTreeMap::new(),
+            in_transit: BTreeMap::new(),
             random: ChaCha8Rng::seed_from_u64(seed),
             loss: 0.0,
-            cut: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             datagrams: 0,
             bytes: 0,
             bytes_between_zones: 0,
             bytes_by_kind: BTreeMap::new(),
-            notes: Vec::new(),
-            lives: 0,
+            events: Vec::new(),
+            process_count: 0,
             zones: 1,
-            frozen: BTreeSet::new(),
+            stalled: BTreeSet::new(),
         }
     }
 
-    /// `count` nodes that have read one another from the store.
+    /// `count` nodes that have read each other's entries from the store.
     pub fn joined(seed: u64, count: usize) -> Self {
         Self::joined_in_zones(seed, count, 1)
     }
 
-    /// The same in several zones.
+    /// Like [`joined`](Self::joined), in several zones.
     pub fn joined_in_zones(seed: u64, count: usize, zones: usize) -> Self {
-        let mut world = Self::started_in_zones(seed, count, zones);
+        let mut cluster = Self::started_in_zones(seed, count, zones);
         for number in 0..count {
-            world.introduce(number, 0..count);
+            cluster.add_directory_entries(number, 0..count);
         }
-        world
+        cluster
     }
 
-    /// `count` nodes that know nobody.
+    /// `count` nodes that know no other node.
     pub fn started_in_zones(seed: u64, count: usize, zones: usize) -> Self {
-        let mut world = Self { zones, ..Self::new(seed) };
+        let mut cluster = Self { zones, ..Self::new(seed) };
         for number in 0..count {
-            world.start(number);
+            cluster.start(number);
         }
-        world
+        cluster
     }
 
-    /// What nodes that don't run here say of themselves.
+    /// Records of nodes that are not simulated.
     pub fn records(numbers: std::ops::Range<usize>, zones: usize) -> Vec<MemberRecord> {
         numbers.map(|number| record(number, number, number as u64 + 1, zones)).collect()
     }
 
-    /// Starts a process of the node, in place of the one that runs.
+    /// Starts a process of the node, replacing the running one.
     pub fn start(&mut self, number: usize) {
         self.start_at(number, number);
     }
 
-    /// Starts a process of the node called by `named` at the address of the node `number`.
-    pub fn start_at(&mut self, named: usize, number: usize) {
-        self.lives += 1;
-        self.start_with(named, number, self.lives);
+    /// Starts a process of the node `name_number` at the address of the node `number`.
+    pub fn start_at(&mut self, name_number: usize, number: usize) {
+        self.process_count += 1;
+        self.start_with(name_number, number, self.process_count);
     }
 
-    /// Starts a process whose random number is `life`.
-    pub fn start_as(&mut self, number: usize, life: u64) {
+    /// Starts a process with the random ID `life`.
+    pub fn start_with_process_id(&mut self, number: usize, life: u64) {
         self.start_with(number, number, life);
     }
 
-    fn start_with(&mut self, named: usize, number: usize, life: u64) {
-        let record = record(named, number, life, self.zones);
+    fn start_with(&mut self, name_number: usize, number: usize, life: u64) {
+        let record = record(name_number, number, life, self.zones);
         self.nodes.insert(number, Membership::new(MembershipSettings::default(), record));
     }
 
@@ -172,7 +173,7 @@
         self.nodes.remove(&number);
     }
 
-    pub fn introduce(&mut self, number: usize, others: impl IntoIterator<Item = usize>) {
+    pub fn add_directory_entries(&mut self, number: usize, others: impl IntoIterator<Item = usize>) {
         let introductions = others.into_iter().map(|other| DirectoryEntry {
             node: node(other),
             control: address(other),
@@ -182,9 +183,13 @@
         self.nodes.get_mut(&number).unwrap().on_directory_entries(now, introductions.collect());
     }
 
-    /// Lets a node say something at once.
-    pub fn tell(&mut self, number: usize, say: impl FnOnce(&mut Membership, Instant) -> Vec<Outgoing>) {
-        let outgoing = say(self.nodes.get_mut(&number).unwrap(), self.now);
+    /// Calls `action` on the membership of a node and sends the resulting datagrams.
+    pub fn update_node(
+        &mut self,
+        number: usize,
+        action: impl FnOnce(&mut Membership, Instant) -> Vec<Outgoing>,
+    ) {
+        let outgoing = action(self.nodes.get_mut(&number).unwrap(), self.now);
         self.send(number, outgoing);
     }
 
@@ -206,7 +211,7 @@
 
     fn tick(&mut self) {
         let now = self.now;
-        let running = self.nodes.keys().copied().filter(|number| !self.frozen.contains(number));
+        let running = self.nodes.keys().copied().filter(|number| !self.stalled.contains(number));
         let numbers: Vec<usize> = running.collect();
         for number in numbers {
             let outgoing = self.nodes.get_mut(&number).unwrap().on_tick(now);
@@ -216,12 +221,12 @@
 
     fn deliver(&mut self) {
         let now = self.now;
-        let later = self.flying.split_off(&(now + Duration::from_nanos(1), 0));
-        let due = std::mem::replace(&mut self.flying, later);
+        let later = self.in_transit.split_off(&(now + Duration::from_nanos(1), 0));
+        let due = std::mem::replace(&mut self.in_transit, later);
         let (waiting, due): (BTreeMap<_, _>, BTreeMap<_, _>) =
-            due.into_iter().partition(|(_, flying)| self.frozen.contains(&number_at(flying.to)));
-        self.flying.extend(waiting);
-        for Flying { from, to, datagram } in due.into_values() {
+            due.into_iter().partition(|(_, in_transit)| self.stalled.contains(&number_at(in_transit.to)));
+        self.in_transit.extend(waiting);
+        for InTransit { from, to, datagram } in due.into_values() {
             let number = number_at(to);
             let Some(membership) = self.nodes.get_mut(&number) else { continue };
             let outgoing = membership.on_datagram(now, from, &datagram);
@@ -237,12 +242,12 @@
             self.bytes += length;
             *self.bytes_by_kind.entry(datagram.kind()).or_default() += length;
             self.bytes_between_zones += if from % self.zones == receiver % self.zones { 0 } else { length };
-            if self.cut.contains(&(from, receiver)) || self.random.random_bool(self.loss) {
+            if self.blocked_links.contains(&(from, receiver)) || self.random.random_bool(self.loss) {
                 continue;
             }
             let delay = Duration::from_millis(self.random.random_range(1..15));
-            self.flying
-                .insert((self.now + delay, self.datagrams), Flying { from: address(from), to, datagram });
+            self.in_transit
+                .insert((self.now + delay, self.datagrams), InTransit { from: address(from), to, datagram });
         }
     }
 
@@ -250,33 +255,34 @@
         self.nodes.keys().copied().collect()
     }
 
-    /// What the nodes have found out since this was asked last.
+    /// Takes the events that all nodes have recorded since the last call.
     pub fn take_events(&mut self) -> Vec<(usize, MembershipEvent)> {
         for (number, membership) in &mut self.nodes {
-            self.notes.extend(membership.take_events().into_iter().map(|note| (*number, note)));
+            self.events.extend(membership.take_events().into_iter().map(|event| (*number, event)));
         }
-        std::mem::take(&mut self.notes)
+        std::mem::take(&mut self.events)
     }
 
-    /// The nodes that the node hears all the time.
+    /// The nodes from which the node receives heartbeats regularly.
     pub fn neighbours_of(&mut self, number: usize) -> Vec<usize> {
         let mut neighbours = self.numbers();
         for _ in 0..4 {
             self.run_millis(300);
-            let heard = self.heard_lately(number);
-            neighbours.retain(|neighbour| heard.contains(neighbour));
+            let recent = self.recently_heard(number);
+            neighbours.retain(|neighbour| recent.contains(neighbour));
         }
         neighbours
     }
 
-    fn heard_lately(&self, number: usize) -> Vec<usize> {
+    fn recently_heard(&self, number: usize) -> Vec<usize> {
         let is_recent = |last_seen_at: Instant| self.now - last_seen_at < Duration::from_millis(300);
-        let heard = self.nodes[&number].members().filter(|member| member.last_seen_at.is_some_and(is_recent));
-        heard.map(|member| number_at(member.record.control)).collect()
+        let recent =
+            self.nodes[&number].members().filter(|member| member.last_seen_at.is_some_and(is_recent));
+        recent.map(|member| number_at(member.record.control)).collect()
     }
 
-    /// Whether somebody has told the node of the version, or it holds it.
-    pub fn has_heard_of(&self, number: usize, version: Version) -> bool {
+    /// Whether the node has received a heartbeat from a node that holds the version.
+    pub fn knows_version(&self, number: usize, version: Version) -> bool {
         let mut members = self.nodes[&number].members();
         members.any(|member| member.configuration.version >= Some(version))
     }
@@ -291,7 +297,7 @@
         self.nodes[&from].reachable().any(|record| record.node == to)
     }
 
-    /// Whether every node reaches every other one.
+    /// Whether every node reaches every other node.
     pub fn all_reach_all(&self) -> bool {
         let running: BTreeSet<&NodeName> =
             self.nodes.values().map(|membership| &membership.own().node).collect();
