--- a/crates/membership/tests/at_size.rs
+++ b/crates/membership/tests/at_size.rs
@@ -29,7 +29,7 @@
 }
 
 /// Number of nodes from which `of` is reachable.
-fn reaching(cluster: &Cluster, of: usize) -> usize {
+fn count_reaching(cluster: &Cluster, of: usize) -> usize {
     cluster.nodes.keys().filter(|from| **from != of && cluster.reaches(**from, of)).count()
 }
 
@@ -65,11 +65,11 @@
         cluster.kill(50);
         cluster.run_millis(1_000);
         assert!(
-            reaching(&cluster, 50) <= 1,
+            count_reaching(&cluster, 50) <= 1,
             "seed {seed}: one of 194 nodes may miss the update, since 1 in 400 does"
         );
         cluster.run_millis(500);
-        assert_eq!(reaching(&cluster, 50), 0, "seed {seed}");
+        assert_eq!(count_reaching(&cluster, 50), 0, "seed {seed}");
     }
 }
 
@@ -118,8 +118,8 @@
     cluster.run_millis(6_000);
     cluster.loss = 0.0;
     let events = cluster.take_events();
-    let left_out = events.iter().filter(|(_, event)| matches!(event, MembershipEvent::NodeExcluded { .. }));
-    assert_eq!(left_out.count(), 0);
+    let excluded = events.iter().filter(|(_, event)| matches!(event, MembershipEvent::NodeExcluded { .. }));
+    assert_eq!(excluded.count(), 0);
 }
 
 #[test]
@@ -130,7 +130,7 @@
     cluster.stalled.remove(&7);
     for _ in 0..20 {
         cluster.run_millis(50);
-        assert_eq!(reaching(&cluster, 7), NODES - 1);
+        assert_eq!(count_reaching(&cluster, 7), NODES - 1);
     }
 }
 
@@ -139,15 +139,15 @@
     let mut cluster = settled_cluster(10, NODES);
     cluster.stalled.insert(7);
     cluster.run_millis(5_000);
-    assert_eq!(reaching(&cluster, 7), 0);
+    assert_eq!(count_reaching(&cluster, 7), 0);
     cluster.take_events();
     cluster.stalled.remove(&7);
     cluster.run_millis(1_000);
-    assert_eq!(reaching(&cluster, 7), NODES - 1);
+    assert_eq!(count_reaching(&cluster, 7), NODES - 1);
     assert!(cluster.nodes.keys().filter(|to| **to != 7).all(|to| cluster.reaches(7, *to)));
     let events = cluster.take_events();
-    let by_it = events.iter().filter(|(number, _)| *number == 7).map(|(_, event)| event);
-    let accused = by_it.filter(|event| matches!(event, MembershipEvent::NeighbourSilent { .. }));
+    let own_events = events.iter().filter(|(number, _)| *number == 7).map(|(_, event)| event);
+    let accused = own_events.filter(|event| matches!(event, MembershipEvent::NeighbourSilent { .. }));
     assert_eq!(accused.count(), 0, "the stalled node must not accuse others");
 }
 
@@ -160,8 +160,8 @@
     cluster.blocked_links.insert((other, 0));
     cluster.run_millis(3_000);
     assert!(!cluster.reaches(0, other) && !cluster.reaches(other, 0));
-    assert_eq!(reaching(&cluster, 0), NODES - 2);
-    assert_eq!(reaching(&cluster, other), NODES - 2);
+    assert_eq!(count_reaching(&cluster, 0), NODES - 2);
+    assert_eq!(count_reaching(&cluster, other), NODES - 2);
     cluster.blocked_links.clear();
     cluster.run_millis(1_500);
     assert!(cluster.all_reach_all());
@@ -175,7 +175,7 @@
         cluster.blocked_links.insert((other, 0));
     }
     cluster.run_millis(6_000);
-    assert_eq!(reaching(&cluster, 0), 0);
+    assert_eq!(count_reaching(&cluster, 0), 0);
     assert_eq!((1..NODES).filter(|to| cluster.reaches(0, *to)).count(), 0);
     cluster.blocked_links.clear();
     cluster.run_millis(3_000);
@@ -228,7 +228,7 @@
     // The neighbours of most killed nodes were killed too, so several rounds pass until other nodes monitor
     // them.
     cluster.run_millis(6_000);
-    let wrong: usize = killed.iter().map(|number| reaching(&cluster, *number)).sum();
+    let wrong: usize = killed.iter().map(|number| count_reaching(&cluster, *number)).sum();
     assert!(
         wrong * 100 <= killed.len() * (NODES - killed.len()),
         "{wrong} of {} views are wrong",
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -51,7 +51,7 @@
         Vec::new()
     });
     cluster.run_millis(1_000);
-    let word_at = cluster.nodes[&3].last_store_contact().unwrap();
+    let contact_at = cluster.nodes[&3].last_store_contact().unwrap();
     let silent = std::time::Duration::from_secs(5);
     let mut accusations = 0;
     cluster.update_node(3, |membership, now| {
@@ -59,15 +59,15 @@
         let outgoing = membership.on_tick(now);
         accusations =
             outgoing.iter().filter(|out| matches!(out.datagram, Datagram::MembershipUpdate(_))).count();
-        let asked = outgoing.iter().filter(|out| match &out.datagram {
+        let requested = outgoing.iter().filter(|out| match &out.datagram {
             Datagram::Heartbeat(heartbeat) => heartbeat.wants_response,
             _ => false,
         });
-        assert_eq!(asked.count(), 7, "requests an immediate response from all neighbours");
+        assert_eq!(requested.count(), 7, "requests an immediate response from all neighbours");
         outgoing
     });
     assert_eq!(accusations, 0);
-    assert_eq!(cluster.nodes[&3].last_store_contact(), word_at.checked_sub(silent));
+    assert_eq!(cluster.nodes[&3].last_store_contact(), contact_at.checked_sub(silent));
     cluster.run_millis(1_000);
     assert!(cluster.all_reach_all());
 }
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -268,16 +268,17 @@
         let mut neighbours = self.numbers();
         for _ in 0..4 {
             self.run_millis(300);
-            let heard = self.recently_heard(number);
-            neighbours.retain(|neighbour| heard.contains(neighbour));
+            let recent = self.recently_heard(number);
+            neighbours.retain(|neighbour| recent.contains(neighbour));
         }
         neighbours
     }
 
     fn recently_heard(&self, number: usize) -> Vec<usize> {
         let is_recent = |last_seen_at: Instant| self.now - last_seen_at < Duration::from_millis(300);
-        let heard = self.nodes[&number].members().filter(|member| member.last_seen_at.is_some_and(is_recent));
-        heard.map(|member| number_at(member.record.control)).collect()
+        let recent =
+            self.nodes[&number].members().filter(|member| member.last_seen_at.is_some_and(is_recent));
+        recent.map(|member| number_at(member.record.control)).collect()
     }
 
     /// Whether the node has received a heartbeat from a node that holds the version.
