--- a/xtask/src/demo/bundle.rs
+++ b/xtask/src/demo/bundle.rs
@@ -1,4 +1,4 @@
-//! The bundles of the demo: Gridwell's example, and a second version of it with one more route.
+//! Configuration bundles of the demo: the Gridwell example, and a second version with one more route.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -13,7 +13,7 @@
 /// Path of the route that only the second version has.
 pub const SECOND_VERSION_PATH: &str = "/search";
 
-/// What the second version adds.
+/// Route file that the second version adds.
 const ADDED_ROUTE: &str = r#"schema = 1
 
 [[route]]
@@ -27,12 +27,12 @@
 timeout_millis = 3000
 "#;
 
-/// Folder of the example bundle.
+/// Directory of the example bundle.
 pub fn first_version() -> PathBuf {
     repository_root().join("examples").join(BUNDLE)
 }
 
-/// Writes the second version into `scratch`; tells its folder.
+/// Writes the second version into `scratch` and returns its directory.
 ///
 /// # Errors
 /// Fails when a file can't be read or written.
@@ -40,7 +40,8 @@
     version_with("gridwell-second-version", ADDED_ROUTE, scratch)
 }
 
-/// Writes into `scratch` the version that differs from all others by the time limit of its added route.
+/// Writes a version into `scratch` whose added route has a timeout derived from `number`, so that every
+/// number gives a different bundle.
 ///
 /// # Errors
 /// Fails when a file can't be read or written.
@@ -51,20 +52,20 @@
 }
 
 fn version_with(name: &str, route: &str, scratch: &ScratchDirectory) -> Result<PathBuf, XtaskError> {
-    let folder = scratch.file(name);
-    copy_folder(&first_version(), &folder)?;
-    let added = folder.join("search.toml");
+    let directory = scratch.file(name);
+    copy_directory(&first_version(), &directory)?;
+    let added = directory.join("search.toml");
     fs::write(&added, route).map_err(XtaskError::file(&added))?;
-    Ok(folder)
+    Ok(directory)
 }
 
-fn copy_folder(from: &Path, to: &Path) -> Result<(), XtaskError> {
+fn copy_directory(from: &Path, to: &Path) -> Result<(), XtaskError> {
     fs::create_dir_all(to).map_err(XtaskError::file(to))?;
     for entry in fs::read_dir(from).map_err(XtaskError::file(from))? {
         let source = entry.map_err(XtaskError::file(from))?.path();
         let target = to.join(source.file_name().unwrap_or_default());
         if source.is_dir() {
-            copy_folder(&source, &target)?;
+            copy_directory(&source, &target)?;
         } else {
             fs::copy(&source, &target).map_err(XtaskError::file(&source))?;
         }
--- a/xtask/src/demo/http.rs
+++ b/xtask/src/demo/http.rs
@@ -1,4 +1,4 @@
-//! Short HTTP exchanges with the demo's processes.
+//! HTTP requests to the processes of the demo.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -13,61 +13,62 @@
 
 use crate::error::XtaskError;
 
-/// Longest time for one exchange.
-const EXCHANGE_LIMIT: Duration = Duration::from_secs(5);
+/// Timeout of one request and its response.
+const EXCHANGE_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Largest accepted answer, in bytes.
-const ANSWER_LIMIT: usize = 64 * 1024 * 1024;
+/// Maximum size of a response body, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// A process and where it listens.
+/// A process and its HTTP address.
 #[derive(Debug, Clone, Copy)]
 pub struct Peer<'a> {
-    /// Name of the process, for errors.
+    /// Name of the process, for error messages.
     pub name: &'a str,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
 }
 
 impl Peer<'_> {
-    /// Reads `path`, whatever the status code.
+    /// Sends a GET request for `path` and returns the response whatever its status code.
     ///
     /// # Errors
-    /// Fails when no whole answer comes in time.
+    /// Fails when no complete response arrives in time.
     pub async fn get(&self, path: &str) -> Result<Response<Bytes>, XtaskError> {
         self.send(Method::GET, path, Bytes::new()).await
     }
 
-    /// Reads `path` as text.
+    /// Sends a GET request for `path` and returns the body as text.
     ///
     /// # Errors
-    /// Fails when no whole answer comes in time, or the status code is no success.
+    /// Fails when no complete response arrives in time, or the status is not a success.
     pub async fn get_text(&self, path: &str) -> Result<String, XtaskError> {
         let response = self.expect_success(self.get(path).await?)?;
         Ok(String::from_utf8_lossy(response.body()).into_owned())
     }
 
-    /// Reads `path` as JSON.
+    /// Sends a GET request for `path` and parses the body as JSON.
     ///
     /// # Errors
-    /// Fails when no whole answer comes in time, the status code is no success, or the body is something else.
+    /// Fails when no complete response arrives in time, the status is not a success, or the body is not valid
+    /// JSON for `T`.
     pub async fn get_json<T: DeserializeOwned>(&self, path: &str) -> Result<T, XtaskError> {
         let response = self.expect_success(self.get(path).await?)?;
         Ok(serde_json::from_slice(response.body())?)
     }
 
-    /// Sends a body and expects success.
+    /// Sends a POST request with `body` and expects a success status.
     ///
     /// # Errors
-    /// Fails when no whole answer comes in time, or the status code is no success.
+    /// Fails when no complete response arrives in time, or the status is not a success.
     pub async fn post(&self, path: &str, body: impl Into<Bytes>) -> Result<(), XtaskError> {
         let response = self.send(Method::POST, path, body.into()).await?;
         self.expect_success(response).map(|_| ())
     }
 
-    /// Sends a request, whatever the status code of the answer.
+    /// Sends a request and returns the response whatever its status code.
     ///
     /// # Errors
-    /// Fails when no whole answer comes in time.
+    /// Fails when no complete response arrives in time.
     pub async fn send(&self, method: Method, path: &str, body: Bytes) -> Result<Response<Bytes>, XtaskError> {
         let request = Request::builder()
             .method(method)
@@ -76,9 +77,9 @@
             .body(Full::new(body))?;
         let exchange = async {
             let exchange = send_request(&TcpNetwork, self.address, request).await?;
-            collect_body(exchange, ANSWER_LIMIT).await
+            collect_body(exchange, MAX_RESPONSE_BYTES).await
         };
-        match timeout(EXCHANGE_LIMIT, exchange).await {
+        match timeout(EXCHANGE_TIMEOUT, exchange).await {
             Ok(Ok(response)) => Ok(response),
             Ok(Err(source)) => Err(XtaskError::Http { name: self.name.to_owned(), source }),
             Err(_) => Err(XtaskError::HttpTimeout { name: self.name.to_owned() }),
@@ -89,6 +90,6 @@
         if response.status().is_success() {
             return Ok(response);
         }
-        Err(XtaskError::BadAnswer { name: self.name.to_owned(), status: response.status().as_u16() })
+        Err(XtaskError::UnexpectedStatus { name: self.name.to_owned(), status: response.status().as_u16() })
     }
 }
--- a/xtask/src/demo/layout.rs
+++ b/xtask/src/demo/layout.rs
@@ -1,4 +1,4 @@
-//! What runs where in the demo: Gridwell in three of its four halls.
+//! Placement of the demo's processes: the Gridwell services in three of the region's four zones.
 
 use std::net::SocketAddr;
 
@@ -13,10 +13,10 @@
 /// All zones of the region, also those without a node in the demo.
 pub const ZONES: [&str; 4] = ["hall-1", "hall-2", "hall-3", "hall-4"];
 
-/// Service in whose name the callers enter.
+/// Service that the callers belong to.
 pub const CALLER_SERVICE: &str = "web";
 
-/// Loopback address with any free port.
+/// Loopback address with port 0, so that the system picks a free port.
 pub const ANY_PORT: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(std::net::Ipv4Addr::LOCALHOST), 0);
 
 /// One node to start.
@@ -24,7 +24,7 @@
 pub struct Placement {
     /// Name of the node, and of its back end.
     pub name: &'static str,
-    /// Service of the back end, or of the callers at an edge.
+    /// Service of the back end, or of the callers at an edge node.
     pub service: &'static str,
     /// Zone it runs in.
     pub zone: &'static str,
@@ -34,13 +34,14 @@
     Placement { name, service, zone }
 }
 
-/// The node where callers enter.
+/// The edge node, to which callers send their requests.
 pub const EDGE: Placement = Placement { name: "web-1", service: CALLER_SERVICE, zone: "hall-1" };
 
-/// A second node where callers enter, for runs in which such nodes end too.
+/// A second edge node, for runs that also stop and kill edge nodes.
 pub const SECOND_EDGE: Placement = Placement { name: "web-2", service: CALLER_SERVICE, zone: "hall-2" };
 
-/// Every node beside a back end. `billing-4` runs where the bundle allows no billing, and so must never get work.
+/// Every node with a back end. `billing-4` runs in a zone where the bundle does not allow billing, and must
+/// never receive a request.
 pub const BACK_ENDS: [Placement; 12] = [
     back_end("archive-1", "archive", "hall-1"),
     back_end("solver-1", "solver", "hall-2"),
@@ -56,17 +57,17 @@
     back_end("solver-4", "solver", "hall-3"),
 ];
 
-/// Node that is stopped as planned.
-pub const DRAINED: &str = "solver-2";
+/// Node that the demo drains and stops with SIGTERM.
+pub const DRAINED_NODE: &str = "solver-2";
 
-/// Node that is killed.
-pub const KILLED: &str = "archive-2";
+/// Node that the demo kills with SIGKILL.
+pub const KILLED_NODE: &str = "archive-2";
 
-/// Where the example bundle allows each service. Kept apart from the bundle on purpose: the check must not read the
-/// same file as the daemon.
+/// Localities in which the example bundle allows each service. They are written out here rather than read
+/// from the bundle, so that the check does not share its input with the daemon.
 ///
 /// # Errors
-/// Never, as the names follow the naming rule.
+/// Never: all names here are valid.
 pub fn allowed_localities() -> Result<AllowedLocalities, XtaskError> {
     let region = RegionName::new(REGION)?;
     let rule = |zone: Option<ZoneName>| LocalityRule { region: region.clone(), zone };
--- a/xtask/src/demo/load.rs
+++ b/xtask/src/demo/load.rs
@@ -1,4 +1,4 @@
-//! The loads of the demo.
+//! Load plans of the demo's callers.
 
 use std::net::SocketAddr;
 
@@ -7,59 +7,59 @@
 
 use crate::error::XtaskError;
 
-/// Calls a second: about twice the planned load of one node (61 calls a second).
+/// Call rate per second: about twice the planned load of one node (61 calls per second).
 pub const CALLS_PER_SECOND: f64 = 120.0;
 
-/// Seed of every load; the same seed makes the same calls.
+/// Seed of every load plan; the same seed generates the same calls.
 const SEED: u64 = 1;
 
-/// Time after which the caller gives a call up, in milliseconds.
+/// Client-side timeout of a call, in milliseconds.
 const PATIENCE_MILLIS: u64 = 5_000;
 
 /// Deadline sent with each call, in milliseconds.
 const DEADLINE_MILLIS: u64 = 3_000;
 
-/// Length of a plain answer, in bytes.
+/// Body size of a plain response, in bytes.
 const ANSWER_BYTES: usize = 2_000;
 
-/// Length of a streamed answer, in bytes, and the time over which it is spread, in milliseconds.
+/// Body size of a streamed response, in bytes, and the time over which it is sent, in milliseconds.
 const STREAMED_BYTES: usize = 40_000;
 const STREAM_MILLIS: u64 = 400;
 
-/// Length of an upload, in bytes.
+/// Body size of an upload request, in bytes.
 const UPLOAD_BYTES: usize = 60_000;
 
-/// Where the calls to each service go.
+/// Addresses to which the calls of each service are sent.
 #[derive(Debug, Clone)]
 pub struct Targets {
-    /// For the archive.
+    /// For calls to `archive`.
     pub archive: Vec<SocketAddr>,
-    /// For billing.
+    /// For calls to `billing`.
     pub billing: Vec<SocketAddr>,
-    /// For the solver.
+    /// For calls to `solver`.
     pub solver: Vec<SocketAddr>,
 }
 
 impl Targets {
-    /// Every call enters at one edge.
+    /// Sends every call to one edge node.
     #[must_use]
     pub fn edge(address: SocketAddr) -> Self {
         Self { archive: vec![address], billing: vec![address], solver: vec![address] }
     }
 }
 
-/// Short calls only, for comparing latencies.
+/// A load of short calls only, for comparing latencies.
 ///
 /// # Errors
-/// Never, as the names follow the naming rule.
+/// Never: all names here are valid.
 pub fn short_calls(label: &str, targets: &Targets, seconds: u64) -> Result<LoadPlan, XtaskError> {
     Ok(plan(label, seconds, short_kinds(targets)?))
 }
 
-/// Short calls, streamed answers and uploads.
+/// A load of short calls, streamed responses and uploads.
 ///
 /// # Errors
-/// Never, as the names follow the naming rule.
+/// Never: all names here are valid.
 pub fn mixed_calls(label: &str, targets: &Targets, seconds: u64) -> Result<LoadPlan, XtaskError> {
     let mut kinds = short_kinds(targets)?;
     kinds.push(CallKind {
@@ -78,10 +78,10 @@
     Ok(plan(label, seconds, kinds))
 }
 
-/// Calls of the route that only the second version has.
+/// A load of calls to the route that only the second version has.
 ///
 /// # Errors
-/// Never, as the names follow the naming rule.
+/// Never: all names here are valid.
 pub fn calls_of_second_version(label: &str, targets: &Targets, seconds: u64) -> Result<LoadPlan, XtaskError> {
     let kinds = vec![kind("archive", super::bundle::SECOND_VERSION_PATH, &targets.archive)?];
     Ok(plan(label, seconds, kinds))
--- a/xtask/src/demo/mesh.rs
+++ b/xtask/src/demo/mesh.rs
@@ -1,4 +1,4 @@
-//! All processes of the demo: started in order, and stopped one by one.
+//! Starts, queries and stops all processes of the demo.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -11,27 +11,27 @@
 use super::metrics;
 use super::node::NodeProcess;
 use super::programs::Programs;
-use super::settings::Surroundings;
+use super::settings::NodeEnvironment;
 use super::standins::Standin;
 use crate::error::XtaskError;
 use crate::report::{ControlFigures, PlatformFigures, StopFigures};
 use crate::supervise::{ChildProcess, ScratchDirectory};
 
-/// Longest time until every node takes requests, once a configuration was accepted.
+/// Timeout for every node to become ready after a configuration was accepted.
 const READY_LIMIT: Duration = Duration::from_secs(15);
 
-/// Longest time for one planned stop.
+/// Timeout of one graceful stop.
 const STOP_LIMIT: Duration = Duration::from_secs(12);
 
-/// Time between two looks at the nodes.
+/// Interval between readiness checks.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// The running processes.
 #[derive(Debug)]
 pub struct Mesh {
-    /// The platform.
+    /// The platform stand-in.
     pub platform: Standin,
-    /// Back ends by the name of their node.
+    /// Back end stand-ins by the name of their node.
     pub back_ends: BTreeMap<&'static str, Standin>,
     /// Running nodes by name, the edge included.
     pub nodes: BTreeMap<&'static str, NodeProcess>,
@@ -39,10 +39,10 @@
 }
 
 impl Mesh {
-    /// Starts the platform, the back ends, and a node beside each, then the edge.
+    /// Starts the platform, the back ends, a node for each back end, and the edge node.
     ///
     /// # Errors
-    /// Fails when any of them does not get ready.
+    /// Fails when a process does not become ready in time.
     pub async fn start(programs: &Programs, scratch: &ScratchDirectory) -> Result<Self, XtaskError> {
         let platform = Standin::platform(programs, scratch).await?;
         let mut back_ends = BTreeMap::new();
@@ -57,15 +57,15 @@
         Ok(mesh)
     }
 
-    /// The edge.
+    /// The edge node.
     ///
     /// # Errors
-    /// Fails when the edge was stopped.
+    /// Fails when the edge node was stopped.
     pub fn edge(&self) -> Result<&NodeProcess, XtaskError> {
-        self.nodes.get(EDGE.name).ok_or(XtaskError::TimedOut { condition: "the edge runs" })
+        self.nodes.get(EDGE.name).ok_or(XtaskError::TimedOut { condition: "the edge node runs" })
     }
 
-    /// Addresses of the back ends of a service, of those in the given zones only.
+    /// Addresses of the back ends of `service` in `zones`.
     #[must_use]
     pub fn back_ends_of(&self, service: &str, zones: &[&str]) -> Vec<SocketAddr> {
         let placements = BACK_ENDS.iter().filter(|placement| placement.service == service);
@@ -76,10 +76,10 @@
             .collect()
     }
 
-    /// Waits until every node says that it takes requests.
+    /// Waits until every node reports that it is ready.
     ///
     /// # Errors
-    /// [`XtaskError::TimedOut`] if one does not in time.
+    /// [`XtaskError::NotReady`] if a node does not become ready in time.
     pub async fn wait_until_ready(&self) -> Result<(), XtaskError> {
         let deadline = Instant::now() + READY_LIMIT;
         for node in self.nodes.values() {
@@ -96,10 +96,10 @@
         Ok(())
     }
 
-    /// What all back ends truly ran.
+    /// The ledgers of all back ends, which record the requests that they ran.
     ///
     /// # Errors
-    /// Fails when one does not answer.
+    /// Fails when one of them does not respond.
     pub async fn ledgers(&self) -> Result<Vec<Ledger>, XtaskError> {
         let mut ledgers = Vec::new();
         for back_end in self.back_ends.values() {
@@ -108,28 +108,28 @@
         Ok(ledgers)
     }
 
-    /// How many requests the back end of a node has begun.
+    /// Number of requests that the back end of a node has started to run.
     ///
     /// # Errors
-    /// Fails when it does not answer.
-    pub async fn runs_of(&self, node: &str) -> Result<u64, XtaskError> {
+    /// Fails when the back end does not respond.
+    pub async fn run_count(&self, node: &str) -> Result<u64, XtaskError> {
         let back_end = self.back_ends.get(node);
         let back_end = back_end.ok_or(XtaskError::TimedOut { condition: "the back end runs" })?;
         Ok(back_end.ledger().await?.entries.len() as u64)
     }
 
-    /// Takes a node out of the mesh, to be stopped or killed.
+    /// Removes a node from the list of running nodes and returns it, to be stopped or killed.
     ///
     /// # Errors
-    /// Fails when it does not run.
+    /// Fails when the node does not run.
     pub fn take_node(&mut self, name: &str) -> Result<NodeProcess, XtaskError> {
         self.nodes.remove(name).ok_or(XtaskError::TimedOut { condition: "the node runs" })
     }
 
-    /// Control traffic by the metrics of the running nodes.
+    /// Control traffic, from the metrics of the running nodes.
     ///
     /// # Errors
-    /// Fails when one does not answer.
+    /// Fails when one of them does not respond.
     pub async fn control_figures(&self) -> Result<ControlFigures, XtaskError> {
         let mut bytes = Vec::new();
         for node in self.nodes.values() {
@@ -147,10 +147,10 @@
         })
     }
 
-    /// What the platform bore, by its own counters and by the metrics of the running nodes.
+    /// Load on the platform, from its own counters and the metrics of the running nodes.
     ///
     /// # Errors
-    /// Fails when one does not answer.
+    /// Fails when one of them does not respond.
     pub async fn platform_figures(&self) -> Result<PlatformFigures, XtaskError> {
         let counters = self.platform.counters().await?;
         let mut nodes_with_requests = 0;
@@ -166,7 +166,7 @@
         })
     }
 
-    /// Stops the edge, then the nodes, then the stand-ins, each by SIGTERM.
+    /// Stops the edge node, then the other nodes, then the stand-ins, each with SIGTERM.
     ///
     /// # Errors
     /// Fails when a signal can't be sent.
@@ -176,10 +176,10 @@
             stops.push(stop(&mut edge.process).await?);
         }
         let mut nodes: Vec<_> = self.nodes.into_values().map(|node| node.process).collect();
-        stops.extend(stop_together(&mut nodes).await?);
+        stops.extend(stop_all(&mut nodes).await?);
         let mut standins: Vec<_> = self.back_ends.into_values().map(|standin| standin.process).collect();
         standins.push(self.platform.process);
-        stops.extend(stop_together(&mut standins).await?);
+        stops.extend(stop_all(&mut standins).await?);
         Ok(stops)
     }
 
@@ -190,12 +190,13 @@
         scratch: &ScratchDirectory,
     ) -> Result<NodeProcess, XtaskError> {
         let back_end = self.back_ends.get(placement.name).map(|back_end| back_end.address);
-        let surroundings = Surroundings::plain(self.platform.address, back_end);
-        NodeProcess::start(&programs.umberpond, placement, surroundings, scratch).await
+        let environment = NodeEnvironment::first_process(self.platform.address, back_end);
+        NodeProcess::start(&programs.umberpond, placement, environment, scratch).await
     }
 }
 
-/// Stops one process by SIGTERM and waits for its end; one that does not end is killed when dropped.
+/// Sends SIGTERM to a process and waits until it exits. A process that does not exit in time is killed when
+/// it is dropped.
 ///
 /// # Errors
 /// Fails when the signal can't be sent.
@@ -205,7 +206,7 @@
     Ok(wait_for_stop(process, signalled).await)
 }
 
-async fn stop_together(processes: &mut [ChildProcess]) -> Result<Vec<StopFigures>, XtaskError> {
+async fn stop_all(processes: &mut [ChildProcess]) -> Result<Vec<StopFigures>, XtaskError> {
     let signalled = Instant::now();
     for process in &*processes {
         process.terminate()?;
@@ -218,7 +219,7 @@
 }
 
 async fn wait_for_stop(process: &mut ChildProcess, signalled: Instant) -> StopFigures {
-    let status = process.wait_for_end(STOP_LIMIT).await.ok();
+    let status = process.wait_for_exit(STOP_LIMIT).await.ok();
     StopFigures {
         name: process.name().to_owned(),
         millis: u64::try_from(signalled.elapsed().as_millis()).unwrap_or(u64::MAX),
--- a/xtask/src/demo/metrics.rs
+++ b/xtask/src/demo/metrics.rs
@@ -1,11 +1,11 @@
-//! Reading figures from the Prometheus text of a node.
+//! Parses the Prometheus text format that nodes export.
 
 /// One sample of a metric.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Sample<'a> {
-    /// Labels as written, without the braces.
+    /// Labels as exported, without the braces.
     pub labels: &'a str,
-    /// Value.
+    /// Value of the sample.
     pub value: f64,
 }
 
@@ -17,7 +17,7 @@
             Some(rest) => rest.split_once('}')?,
             None => ("", rest),
         };
-        // Another metric whose name begins with this one.
+        // Skip metrics whose name only starts with `name`.
         if !value.starts_with(' ') {
             return None;
         }
--- a/xtask/src/demo/mod.rs
+++ b/xtask/src/demo/mod.rs
@@ -1,4 +1,5 @@
-//! `cargo xtask demo`: a small mesh of processes on loopback, from the first bundle to the last planned stop.
+//! `cargo xtask demo`: runs a small mesh of processes on loopback, from the first bundle to the final
+//! shutdown, and checks its invariants.
 
 pub mod bundle;
 pub mod http;
@@ -26,13 +27,13 @@
 use programs::Programs;
 use scenario::Scenario;
 
-/// Longest time of the demo after the build.
+/// Timeout of the demo, not counting the build.
 const DEMO_LIMIT: Duration = Duration::from_secs(90);
 
-/// Builds the programs, runs the demo and checks its figures.
+/// Builds the programs, runs the demo and checks the invariants on its report.
 ///
 /// # Errors
-/// Fails when a step can't be carried out. Broken invariants are no error but a failing exit code.
+/// Fails when a step can't be carried out. Broken invariants are reported by the exit code, not as an error.
 pub async fn run(options: &Demo) -> Result<ExitCode, XtaskError> {
     let programs = Programs::build().await?;
     let mut scratch = ScratchDirectory::create("demo")?;
@@ -40,32 +41,32 @@
     let result = tokio::select! {
         biased;
         interrupted = wait_for_interrupt() => Err(interrupted),
-        result = timeout(DEMO_LIMIT, play(&programs, &scratch)) => {
-            result.unwrap_or(Err(XtaskError::TimedOut { condition: "the demo ends" }))
+        result = timeout(DEMO_LIMIT, run_scenario(&programs, &scratch)) => {
+            result.unwrap_or(Err(XtaskError::TimedOut { condition: "the demo finishes" }))
         }
     };
     let mut report = match result {
         Ok(report) => report,
         Err(error) => {
-            keep(&mut scratch);
+            keep_scratch(&mut scratch);
             return Err(error);
         }
     };
     report.total_millis = u64::try_from(started.elapsed().as_millis()).unwrap_or(u64::MAX);
-    let is_whole = conclude(&mut report, options)?;
-    if !is_whole || options.keep_logs {
-        keep(&mut scratch);
+    let is_success = check_and_print(&mut report, options)?;
+    if !is_success || options.keep_logs {
+        keep_scratch(&mut scratch);
     }
-    Ok(if is_whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if is_success { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn play(programs: &Programs, scratch: &ScratchDirectory) -> Result<DemoReport, XtaskError> {
-    eprintln!("demo: starting platform, back ends and nodes");
+async fn run_scenario(programs: &Programs, scratch: &ScratchDirectory) -> Result<DemoReport, XtaskError> {
+    eprintln!("demo: starting the platform, back ends and nodes");
     Scenario::start(programs, scratch).await?.run().await
 }
 
-/// Prints the table and every broken invariant; tells whether all hold.
-fn conclude(report: &mut DemoReport, options: &Demo) -> Result<bool, XtaskError> {
+/// Checks the report, prints the table and every broken invariant, and returns whether all invariants hold.
+fn check_and_print(report: &mut DemoReport, options: &Demo) -> Result<bool, XtaskError> {
     let broken = broken_invariants(report);
     report.broken = broken.iter().map(ToString::to_string).collect();
     print_table(report);
@@ -79,12 +80,13 @@
     Ok(broken.is_empty())
 }
 
-fn keep(scratch: &mut ScratchDirectory) {
+fn keep_scratch(scratch: &mut ScratchDirectory) {
     scratch.keep();
     eprintln!("demo: settings and logs are kept in {}", scratch.path().display());
 }
 
-/// Ends with an error at SIGINT or SIGTERM; dropping the demo then ends every child.
+/// Waits for SIGINT or SIGTERM and returns an error. The caller then drops the running task, which kills
+/// every child process.
 pub async fn wait_for_interrupt() -> XtaskError {
     let receivers = (signal(SignalKind::interrupt()), signal(SignalKind::terminate()));
     let (Ok(mut interrupt), Ok(mut terminate)) = receivers else {
--- a/xtask/src/demo/node.rs
+++ b/xtask/src/demo/node.rs
@@ -1,4 +1,4 @@
-//! One node of the demo as a child process.
+//! Runs one node as a child process.
 
 use std::net::SocketAddr;
 use std::path::Path;
@@ -6,93 +6,94 @@
 
 use super::http::Peer;
 use super::layout::Placement;
-use super::settings::{NodeFacts, Surroundings, seal_key, settings_file};
+use super::settings::{NodeEnvironment, NodeIdentity, seal_key, settings_file};
 use crate::error::XtaskError;
 use crate::node_log::{self, OpenListener};
 use crate::supervise::{ChildProcess, ScratchDirectory};
 
-/// Longest time until all listeners of a node are open.
+/// Timeout for a node to open all its listeners.
 const START_LIMIT: Duration = Duration::from_secs(10);
 
-/// Where a node listens.
+/// Addresses of a node's listeners.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct NodeAddresses {
-    /// Requests of callers.
+    /// Listener for requests of callers.
     pub outbound: SocketAddr,
-    /// Operators and metrics.
+    /// Listener of the operator API and metrics.
     pub admin: SocketAddr,
-    /// Requests of other nodes.
+    /// Listener for requests of other nodes.
     pub inbound: SocketAddr,
-    /// Datagrams and control connections of other nodes.
+    /// Listener for datagrams and control connections of other nodes.
     pub control: SocketAddr,
 }
 
 /// A running node.
 #[derive(Debug)]
 pub struct NodeProcess {
-    /// What it is and where it stands.
+    /// Name, service and zone of the node.
     pub placement: Placement,
-    /// Where it listens.
+    /// Addresses of its listeners.
     pub addresses: NodeAddresses,
-    /// Its process.
+    /// The child process.
     pub process: ChildProcess,
 }
 
 impl NodeProcess {
-    /// Starts a node and waits until it listens.
+    /// Starts a node and waits until all its listeners are open.
     ///
     /// # Errors
-    /// Fails when the node can't be started or does not listen in time.
+    /// Fails when the node can't be started or does not open its listeners in time.
     pub async fn start(
         program: &Path,
         placement: Placement,
-        surroundings: Surroundings<'_>,
+        environment: NodeEnvironment<'_>,
         scratch: &ScratchDirectory,
     ) -> Result<Self, XtaskError> {
         let key_file = format!("{}.key", placement.name);
-        let mut surroundings = surroundings;
+        let mut environment = environment;
         if let Some(key) = seal_key(placement.service) {
             scratch.write(&key_file, key)?;
-            surroundings.seal_key_file = Some(&key_file);
+            environment.seal_key_file = Some(&key_file);
         }
-        let text = settings_file(&NodeFacts::from(&placement), &surroundings)?;
+        let text = settings_file(&NodeIdentity::from(&placement), &environment)?;
         let path = scratch.write(&format!("{}.toml", placement.name), text)?;
         let arguments = ["node".to_owned(), "--config".to_owned(), path.display().to_string()];
-        let name = process_name(placement.name, surroundings.life);
+        let name = process_name(placement.name, environment.restarts);
         let mut process = ChildProcess::start(&name, program, &arguments, scratch)?;
         let mut listeners = OpenListeners::default();
         let addresses = process.wait_for_line(START_LIMIT, |line| listeners.read(line)).await?;
         Ok(Self { placement, addresses, process })
     }
 
-    /// Its admin address.
+    /// The node's admin listener.
     #[must_use]
     pub fn admin(&self) -> Peer<'_> {
         Peer { name: self.placement.name, address: self.addresses.admin }
     }
 
-    /// The version in force on it, if there is one.
+    /// The configuration version in force on the node, if there is one.
     ///
     /// # Errors
-    /// Fails when it does not answer.
+    /// Fails when the node does not respond.
     pub async fn active_version(&self) -> Result<Option<u64>, XtaskError> {
         let status: serde_json::Value = self.admin().get_json("/v1/status").await?;
         Ok(status.pointer("/version").and_then(serde_json::Value::as_u64))
     }
 
-    /// Whether it says that it takes requests.
+    /// Whether the node reports that it is ready.
     pub async fn is_ready(&self) -> bool {
-        let answer = self.admin().get("/readyz").await;
-        answer.is_ok_and(|answer| answer.status().is_success())
+        let response = self.admin().get("/readyz").await;
+        response.is_ok_and(|response| response.status().is_success())
     }
 }
 
-/// Name of a node's process, and of its log: each life has one of its own.
-fn process_name(node: &str, life: u32) -> String {
-    if life == 0 { node.to_owned() } else { format!("{node}-life-{life}") }
+/// Name of a node's process and of its log file. Every restart gets a new name, so that the logs of earlier
+/// processes are kept.
+fn process_name(node: &str, restarts: u32) -> String {
+    if restarts == 0 { node.to_owned() } else { format!("{node}-life-{restarts}") }
 }
 
-/// The listeners that a node's log has told of.
+/// The open listeners read from a node's log so far.
 #[derive(Default)]
 struct OpenListeners {
     outbound: Option<SocketAddr>,
@@ -102,7 +103,7 @@
 }
 
 impl OpenListeners {
-    /// Reads a line of the log; tells the addresses once all are known.
+    /// Reads a line of the log and returns the addresses once all are known.
     fn read(&mut self, line: &str) -> Option<NodeAddresses> {
         let OpenListener { name, address } = node_log::open_listener(line)?;
         match name.as_str() {
--- a/xtask/src/demo/operator.rs
+++ b/xtask/src/demo/operator.rs
@@ -1,4 +1,5 @@
-//! Submitting a bundle with the command line, and watching from outside when it is in force everywhere.
+//! Submits a bundle with the command line tool and polls the nodes until the version is in force on all of
+//! them.
 
 use std::path::Path;
 use std::time::Duration;
@@ -12,39 +13,39 @@
 use crate::report::AppliedVersion;
 use crate::supervise::{ChildProcess, ScratchDirectory};
 
-/// Longest time that the command waits until the version is in force everywhere.
+/// Value of `--wait`: how long the command waits until the version is in force on all nodes.
 const WAIT: &str = "15s";
 
-/// Longest time for the whole command.
+/// Timeout of the whole command.
 const COMMAND_LIMIT: Duration = Duration::from_secs(20);
 
-/// Longest time for which the nodes are watched after the command.
+/// Timeout of polling the nodes, counted from the start of the command.
 const WATCH_LIMIT: Duration = Duration::from_secs(15);
 
-/// Time between two looks at the nodes.
+/// Interval between polls of the nodes.
 const WATCH_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the command prints as JSON, as far as it matters here.
+/// Fields of the command's JSON output that are read here.
 #[derive(Deserialize)]
 struct ApplyResult {
     version: u64,
 }
 
-/// A submission to make.
+/// A bundle to submit.
 #[derive(Debug, Clone, Copy)]
 pub struct Submission<'a> {
-    /// Name for the log file.
+    /// Suffix of the command's log file.
     pub label: &'a str,
     /// Name of the bundle.
     pub bundle: &'a str,
-    /// Folder with its files.
-    pub folder: &'a Path,
+    /// Directory with its files.
+    pub directory: &'a Path,
 }
 
-/// Submits a bundle by the admin address of `through` and waits until all of `nodes` show it in force.
+/// Submits a bundle to the admin address of `through` and waits until all of `nodes` report it in force.
 ///
 /// # Errors
-/// Fails when the command does.
+/// Fails when the command fails.
 pub async fn apply(
     programs: &Programs,
     submission: Submission<'_>,
@@ -55,10 +56,14 @@
     let started = Instant::now();
     let command = run_command(programs, submission, through, scratch);
     let watch = watch_until_in_force(nodes, started);
-    // Nodes may show the new version before the command has told its number, so the watch runs beside it.
-    let (applied, sightings) = tokio::join!(command, watch);
+    // Nodes may report the new version before the command prints its number, so both run concurrently.
+    let (applied, observations) = tokio::join!(command, watch);
     let (version, command_millis) = applied?;
-    Ok(AppliedVersion { version, command_millis, everywhere_millis: sightings.everywhere(version) })
+    Ok(AppliedVersion {
+        version,
+        command_millis,
+        everywhere_millis: observations.in_force_everywhere_millis(version),
+    })
 }
 
 async fn run_command(
@@ -71,7 +76,7 @@
     let arguments = [
         "apply".to_owned(),
         submission.bundle.to_owned(),
-        submission.folder.display().to_string(),
+        submission.directory.display().to_string(),
         "--node".to_owned(),
         through.addresses.admin.to_string(),
         "--wait".to_owned(),
@@ -86,22 +91,22 @@
     Ok((result.version, millis_since(started)))
 }
 
-/// When each node first showed each version.
-struct Sightings {
+/// When each node first reported each version.
+struct VersionObservations {
     nodes: usize,
-    first_seen: Vec<Sighting>,
+    first_seen: Vec<VersionObservation>,
 }
 
 #[derive(Clone, Copy)]
-struct Sighting {
+struct VersionObservation {
     node: usize,
     version: u64,
     millis: u64,
 }
 
-impl Sightings {
-    /// When the last node first showed `version` or a later one.
-    fn everywhere(&self, version: u64) -> Option<u64> {
+impl VersionObservations {
+    /// Time at which the last node reported `version` or a later one; `None` if a node has not.
+    fn in_force_everywhere_millis(&self, version: u64) -> Option<u64> {
         let first = |node: usize| {
             let of_node = self.first_seen.iter().filter(|seen| seen.node == node && seen.version >= version);
             of_node.map(|seen| seen.millis).min()
@@ -114,7 +119,8 @@
         self.first_seen.iter().filter(|seen| seen.node == node).map(|seen| seen.version).max()
     }
 
-    /// Whether all nodes show the same version, and one that was not there at the first look.
+    /// Returns whether all nodes report the same version, and it is newer than every version of the first
+    /// poll.
     fn have_converged(&self, before: Option<u64>) -> bool {
         let newest: Vec<Option<u64>> = (0..self.nodes).map(|node| self.newest(node)).collect();
         newest.windows(2).all(|pair| pair[0] == pair[1])
@@ -122,24 +128,28 @@
     }
 }
 
-async fn watch_until_in_force(nodes: &[&NodeProcess], started: Instant) -> Sightings {
-    let mut sightings = Sightings { nodes: nodes.len(), first_seen: Vec::new() };
-    look(nodes, started, &mut sightings).await;
-    let before = sightings.first_seen.iter().map(|seen| seen.version).max();
-    while started.elapsed() < WATCH_LIMIT && !sightings.have_converged(before) {
+async fn watch_until_in_force(nodes: &[&NodeProcess], started: Instant) -> VersionObservations {
+    let mut observations = VersionObservations { nodes: nodes.len(), first_seen: Vec::new() };
+    poll_versions(nodes, started, &mut observations).await;
+    let before = observations.first_seen.iter().map(|seen| seen.version).max();
+    while started.elapsed() < WATCH_LIMIT && !observations.have_converged(before) {
         sleep(WATCH_INTERVAL).await;
-        look(nodes, started, &mut sightings).await;
+        poll_versions(nodes, started, &mut observations).await;
     }
-    sightings
+    observations
 }
 
-async fn look(nodes: &[&NodeProcess], started: Instant, sightings: &mut Sightings) {
+async fn poll_versions(nodes: &[&NodeProcess], started: Instant, observations: &mut VersionObservations) {
     for (index, node) in nodes.iter().enumerate() {
-        // A node that does not answer shows nothing; the limit of the watch bounds the wait.
+        // A node that does not respond is polled again later; `WATCH_LIMIT` bounds the wait.
         if let Ok(Some(version)) = node.active_version().await
-            && sightings.newest(index).is_none_or(|newest| newest < version)
+            && observations.newest(index).is_none_or(|newest| newest < version)
         {
-            sightings.first_seen.push(Sighting { node: index, version, millis: millis_since(started) });
+            observations.first_seen.push(VersionObservation {
+                node: index,
+                version,
+                millis: millis_since(started),
+            });
         }
     }
 }
--- a/xtask/src/demo/programs.rs
+++ b/xtask/src/demo/programs.rs
@@ -1,4 +1,4 @@
-//! The programs of the demo: built for release and found beside this one.
+//! Builds the programs of the demo in release mode and locates them.
 
 use std::path::{Path, PathBuf};
 use std::process::Stdio;
@@ -10,7 +10,7 @@
 /// Paths of the built programs.
 #[derive(Debug)]
 pub struct Programs {
-    /// The daemon and its command line.
+    /// The daemon and command line tool.
     pub umberpond: PathBuf,
     /// The platform stand-in.
     pub platform: PathBuf,
@@ -21,10 +21,10 @@
 }
 
 impl Programs {
-    /// Builds all of them, with Cargo's own output on the terminal.
+    /// Builds all programs; Cargo's output goes to the terminal.
     ///
     /// # Errors
-    /// Fails when Cargo does.
+    /// Fails when Cargo can't be started or the build fails.
     pub async fn build() -> Result<Self, XtaskError> {
         const CARGO: &str = "cargo build";
         let cargo = std::env::var_os("CARGO").unwrap_or_else(|| "cargo".into());
@@ -39,22 +39,23 @@
         if !status.success() {
             return Err(XtaskError::Failed { name: CARGO.to_owned(), status, log: PathBuf::from("above") });
         }
-        let folder = release_directory()?;
+        let directory = release_directory()?;
         Ok(Self {
-            umberpond: folder.join("umberpond"),
-            platform: folder.join("standin-platform"),
-            backend: folder.join("standin-backend"),
-            caller: folder.join("standin-caller"),
+            umberpond: directory.join("umberpond"),
+            platform: directory.join("standin-platform"),
+            backend: directory.join("standin-backend"),
+            caller: directory.join("standin-caller"),
         })
     }
 }
 
-/// Root of the repository.
+/// Root directory of the repository.
 pub fn repository_root() -> &'static Path {
     Path::new(env!("CARGO_MANIFEST_DIR")).parent().unwrap_or_else(|| Path::new("."))
 }
 
-/// Folder of release builds: beside that of this program, which follows a changed target folder.
+/// Directory of release builds. It is derived from the path of this program, so that a changed target
+/// directory is respected.
 fn release_directory() -> Result<PathBuf, XtaskError> {
     let own = std::env::current_exe().map_err(XtaskError::file("xtask"))?;
     let target = own.ancestors().nth(2).unwrap_or_else(|| Path::new("target"));
--- a/xtask/src/demo/scenario.rs
+++ b/xtask/src/demo/scenario.rs
@@ -1,4 +1,4 @@
-//! What happens in the demo, step by step.
+//! The steps of the demo.
 
 use std::time::Duration;
 
@@ -8,7 +8,7 @@
 use umberpond_standins::reconcile;
 
 use super::bundle::{self, BUNDLE};
-use super::layout::{DRAINED, KILLED, ZONES, allowed_localities};
+use super::layout::{DRAINED_NODE, KILLED_NODE, ZONES, allowed_localities};
 use super::load::{self, Targets};
 use super::mesh::{self, Mesh};
 use super::operator::{Submission, apply};
@@ -20,38 +20,38 @@
 };
 use crate::supervise::ScratchDirectory;
 
-/// Length of each load, in seconds.
+/// Duration of each load, in seconds.
 const PHASE_SECONDS: u64 = 6;
 
-/// Length of the load on the second version's route, in seconds.
+/// Duration of the load on the second version's route, in seconds.
 const SHORT_SECONDS: u64 = 2;
 
-/// Time from the start of a load until something happens to the mesh.
+/// Time from the start of a load until a node is stopped or killed or a version is submitted.
 const BEFORE_EVENT: Duration = Duration::from_secs(2);
 
-/// Time after SIGTERM from which a back end must get no new work.
+/// Time after SIGTERM from which the node's back end must receive no new requests.
 const DRAIN_GRACE: Duration = Duration::from_secs(2);
 
-/// Time after a death from which every call must be answered.
+/// Time after a node was killed from which every call must be answered.
 const KILL_GRACE: Duration = Duration::from_secs(2);
 
 /// Zones in which the example bundle allows billing.
 const BILLING_ZONES: [&str; 2] = ["hall-1", "hall-2"];
 
-/// The load of one phase.
+/// The caller's report of one phase.
 struct Phase {
     kind: PhaseKind,
     report: CallerReport,
 }
 
-/// The demo as far as it has come.
+/// State of a running demo.
 pub struct Scenario<'a> {
     programs: &'a Programs,
     scratch: &'a ScratchDirectory,
     mesh: Mesh,
     phases: Vec<Phase>,
     report: DemoReport,
-    /// Requests that the drained node's back end had begun when the grace was over.
+    /// Requests that the drained node's back end had started to run when the grace period ended.
     runs_at_grace: u64,
 }
 
@@ -59,7 +59,7 @@
     /// Starts all processes.
     ///
     /// # Errors
-    /// Fails when one of them does not get ready.
+    /// Fails when a process does not become ready in time.
     pub async fn start(programs: &'a Programs, scratch: &'a ScratchDirectory) -> Result<Self, XtaskError> {
         let mesh = Mesh::start(programs, scratch).await?;
         let report = DemoReport { nodes: mesh.nodes.len(), ..DemoReport::default() };
@@ -69,7 +69,7 @@
     /// Runs every step and stops all processes.
     ///
     /// # Errors
-    /// Fails when a step can't be carried out; what a step shows is for the checks.
+    /// Fails when a step can't be carried out. The invariants are checked later, on the report.
     pub async fn run(mut self) -> Result<DemoReport, XtaskError> {
         step("submitting the first version");
         let applied = self.apply("first", &bundle::first_version()).await?;
@@ -85,9 +85,9 @@
         Ok(self.report)
     }
 
-    async fn apply(&self, label: &str, folder: &std::path::Path) -> Result<AppliedVersion, XtaskError> {
+    async fn apply(&self, label: &str, directory: &std::path::Path) -> Result<AppliedVersion, XtaskError> {
         let nodes: Vec<_> = self.mesh.nodes.values().collect();
-        let submission = Submission { label, bundle: BUNDLE, folder };
+        let submission = Submission { label, bundle: BUNDLE, directory };
         apply(self.programs, submission, self.mesh.edge()?, &nodes, self.scratch).await
     }
 
@@ -102,7 +102,7 @@
         let direct = self.start_caller(&plan).await?;
         let plan = load::short_calls("steady", &self.targets()?, PHASE_SECONDS)?;
         let steady = self.start_caller(&plan).await?;
-        // Both at once, so that whatever else the machine does slows both alike.
+        // Both loads run at the same time, so that other work on the machine slows both equally.
         let (direct, steady) = tokio::try_join!(direct.finish(), steady.finish())?;
         self.report.latency = LatencyFigures::between(&direct.latencies(), &steady.latencies());
         self.add_phase(PhaseKind::Direct, direct);
@@ -111,19 +111,19 @@
     }
 
     async fn drain(&mut self) -> Result<(), XtaskError> {
-        step("stopping one node as planned, under load");
+        step("stopping one node gracefully, under load");
         let plan = load::mixed_calls("drain", &self.targets()?, PHASE_SECONDS)?;
         let caller = self.start_caller(&plan).await?;
         sleep(BEFORE_EVENT).await;
-        let runs_before = self.mesh.runs_of(DRAINED).await?;
-        let mut node = self.mesh.take_node(DRAINED)?;
+        let runs_before = self.mesh.run_count(DRAINED_NODE).await?;
+        let mut node = self.mesh.take_node(DRAINED_NODE)?;
         let signalled = Instant::now();
         let stop = mesh::stop(&mut node.process).await?;
         sleep(DRAIN_GRACE.saturating_sub(signalled.elapsed())).await;
-        let runs_at_grace = self.mesh.runs_of(DRAINED).await?;
+        let runs_at_grace = self.mesh.run_count(DRAINED_NODE).await?;
         let report = caller.finish().await?;
         self.report.drain =
-            Some(DrainFigures { node: DRAINED.to_owned(), runs_before, runs_after_grace: 0, stop });
+            Some(DrainFigures { node: DRAINED_NODE.to_owned(), runs_before, runs_after_grace: 0, stop });
         self.runs_at_grace = runs_at_grace;
         self.add_phase(PhaseKind::Drain, report);
         Ok(())
@@ -135,8 +135,8 @@
         let started = Instant::now();
         let caller = self.start_caller(&plan).await?;
         sleep(BEFORE_EVENT).await;
-        let runs_before = self.mesh.runs_of(KILLED).await?;
-        let node = self.mesh.take_node(KILLED)?;
+        let runs_before = self.mesh.run_count(KILLED_NODE).await?;
+        let node = self.mesh.take_node(KILLED_NODE)?;
         node.process.kill()?;
         let grace_ends = started.elapsed() + KILL_GRACE;
         let report = caller.finish().await?;
@@ -145,18 +145,18 @@
         };
         let late = report.answers.iter().filter(|answer| is_late_failure(answer.due_millis, answer.outcome));
         let late_failures = late.count() as u64;
-        self.report.kill = Some(KillFigures { node: KILLED.to_owned(), runs_before, late_failures });
+        self.report.kill = Some(KillFigures { node: KILLED_NODE.to_owned(), runs_before, late_failures });
         self.add_phase(PhaseKind::Kill, report);
         Ok(())
     }
 
     async fn apply_second_version(&mut self) -> Result<(), XtaskError> {
         step("submitting a second version, under load");
-        let folder = bundle::second_version(self.scratch)?;
+        let directory = bundle::second_version(self.scratch)?;
         let plan = load::mixed_calls("apply", &self.targets()?, PHASE_SECONDS)?;
         let caller = self.start_caller(&plan).await?;
         sleep(BEFORE_EVENT).await;
-        let applied = self.apply("second", &folder).await?;
+        let applied = self.apply("second", &directory).await?;
         self.report.versions.push(applied);
         let report = caller.finish().await?;
         self.add_phase(PhaseKind::Apply, report);
@@ -168,14 +168,14 @@
     }
 
     async fn collect(&mut self) -> Result<(), XtaskError> {
-        step("comparing what callers were told with what ran");
+        step("comparing the responses that callers received with the requests that ran");
         let ledgers = self.mesh.ledgers().await?;
         for phase in std::mem::take(&mut self.phases) {
             let figures = compare(&phase, &ledgers)?;
             self.report.disallowed_runs = figures.reconciliation.disallowed_locality;
             self.report.phases.push(figures);
         }
-        let runs_at_end = self.mesh.runs_of(DRAINED).await?;
+        let runs_at_end = self.mesh.run_count(DRAINED_NODE).await?;
         if let Some(drain) = &mut self.report.drain {
             drain.runs_after_grace = runs_at_end - self.runs_at_grace;
         }
--- a/xtask/src/demo/settings.rs
+++ b/xtask/src/demo/settings.rs
@@ -1,4 +1,4 @@
-//! The settings file of one node.
+//! Writes the settings file of a node.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -8,13 +8,14 @@
 use super::layout::{ANY_PORT, Placement, REGION, ZONES};
 use crate::error::XtaskError;
 
-/// Private halves of the test keys of RFC 7748, section 6.1, whose public halves the example bundle names.
+/// Private keys of the test vectors in RFC 7748, section 6.1. The example bundle contains the matching public
+/// keys.
 const SEAL_KEYS: [(&str, &str); 2] = [
     ("web", "77076d0a7318a57d3c16c17251b26645df4c2f87ebc0992ab177fba51db92c2a"),
     ("billing", "5dab087e624a8a4b79e17f8b83800ee66f3bb1292618b6fd1c2f8b27ff88e0eb"),
 ];
 
-/// Private seal key of a service, as the content of its file.
+/// Content of the private seal key file of `service`, if it has one.
 pub fn seal_key(service: &str) -> Option<&'static str> {
     SEAL_KEYS.iter().find(|(owner, _)| *owner == service).map(|(_, key)| *key)
 }
@@ -54,12 +55,12 @@
     control: SocketAddr,
 }
 
-/// Addresses told to other nodes, where they differ from those listened at.
+/// Addresses advertised to other nodes, if they differ from the listen addresses.
 #[derive(Debug, Clone, Copy, Serialize)]
 pub struct AdvertiseTable {
-    /// For requests.
+    /// Address for requests.
     pub inbound: SocketAddr,
-    /// For datagrams and control connections.
+    /// Address for datagrams and control connections.
     pub control: SocketAddr,
 }
 
@@ -92,32 +93,32 @@
     level: &'static str,
 }
 
-/// What the settings of a node depend on beside itself.
+/// Inputs of a node's settings other than its identity.
 #[derive(Debug, Clone, Copy)]
-pub struct Surroundings<'a> {
-    /// The store's object API.
+pub struct NodeEnvironment<'a> {
+    /// Address of the store's object API.
     pub store: SocketAddr,
-    /// The back end beside the node; absent where callers enter.
+    /// Address of the node's back end; `None` for an edge node.
     pub back_end: Option<SocketAddr>,
-    /// Addresses told to other nodes, where they differ from those listened at.
+    /// Addresses advertised to other nodes, if they differ from the listen addresses.
     pub advertise: Option<AdvertiseTable>,
-    /// Number of the process among those of the node, from 0 on.
-    pub life: u32,
-    /// File with the service's private seal key, if it has one.
+    /// How many processes of this node were started before; 0 for the first.
+    pub restarts: u32,
+    /// Path of the service's private seal key file, if it has one.
     pub seal_key_file: Option<&'a str>,
 }
 
-impl Surroundings<'_> {
-    /// A first process that is reached where it listens.
+impl NodeEnvironment<'_> {
+    /// The environment of a node's first process, which advertises its listen addresses.
     #[must_use]
-    pub const fn plain(store: SocketAddr, back_end: Option<SocketAddr>) -> Self {
-        Self { store, back_end, advertise: None, life: 0, seal_key_file: None }
+    pub const fn first_process(store: SocketAddr, back_end: Option<SocketAddr>) -> Self {
+        Self { store, back_end, advertise: None, restarts: 0, seal_key_file: None }
     }
 }
 
-/// Which node the settings are for.
+/// Identity of the node that the settings are for.
 #[derive(Debug, Clone)]
-pub struct NodeFacts {
+pub struct NodeIdentity {
     /// Its name.
     pub name: String,
     /// Service of its back end, or of its callers.
@@ -126,11 +127,11 @@
     pub region: String,
     /// Its zone.
     pub zone: String,
-    /// The region of every zone.
+    /// Regions by zone.
     pub zones: BTreeMap<String, String>,
 }
 
-impl From<&Placement> for NodeFacts {
+impl From<&Placement> for NodeIdentity {
     fn from(placement: &Placement) -> Self {
         Self {
             name: placement.name.to_owned(),
@@ -145,22 +146,22 @@
 /// The settings file of a node, as TOML.
 ///
 /// # Errors
-/// Never, in fact: every value has a form in TOML.
-pub fn settings_file(node: &NodeFacts, surroundings: &Surroundings<'_>) -> Result<String, XtaskError> {
+/// Never: every value can be represented in TOML.
+pub fn settings_file(node: &NodeIdentity, environment: &NodeEnvironment<'_>) -> Result<String, XtaskError> {
     let file = SettingsFile {
         node: NodeTable {
             name: &node.name,
             service: &node.service,
             region: &node.region,
             zone: &node.zone,
-            first_start: surroundings.life == 0,
+            first_start: environment.restarts == 0,
         },
         zones: &node.zones,
         listen: ListenTable { inbound: ANY_PORT, outbound: ANY_PORT, admin: ANY_PORT, control: ANY_PORT },
-        advertise: surroundings.advertise,
-        back_end: surroundings.back_end.map(|address| BackEndTable { address, check_interval: "200ms" }),
-        store: AddressTable { address: surroundings.store },
-        secrets: surroundings.seal_key_file.map(|seal_key_file| SecretsTable { seal_key_file }),
+        advertise: environment.advertise,
+        back_end: environment.back_end.map(|address| BackEndTable { address, check_interval: "200ms" }),
+        store: AddressTable { address: environment.store },
+        secrets: environment.seal_key_file.map(|seal_key_file| SecretsTable { seal_key_file }),
         stop: StopTable { grace: "10s" },
         log: LogTable { format: "json", level: "info" },
     };
--- a/xtask/src/demo/standins.rs
+++ b/xtask/src/demo/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins of the demo as child processes.
+//! Runs the stand-ins as child processes.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -16,43 +16,44 @@
 use crate::error::XtaskError;
 use crate::supervise::{ChildProcess, ScratchDirectory};
 
-/// Longest time until a stand-in listens.
+/// Timeout for a stand-in to become ready.
 const START_LIMIT: Duration = Duration::from_secs(5);
 
-/// Time after which a stand-in ends by itself, should nobody end it.
+/// Lifetime after which a stand-in exits by itself if it was not stopped.
 const LIFETIME_SECONDS: &str = "900";
 
 /// Service time of the back ends, in milliseconds.
 const SERVICE_MILLIS: &str = "2";
 
-/// Longest time that a caller takes beyond its plan.
+/// Time that a caller may take beyond the duration of its plan.
 const CALLER_GRACE: Duration = Duration::from_secs(10);
 
 /// A running stand-in server.
 #[derive(Debug)]
 pub struct Standin {
-    /// Its process.
+    /// The child process.
     pub process: ChildProcess,
-    /// Where it listens.
+    /// Address that it listens on.
     pub address: SocketAddr,
-    /// When it had started; its own times count from there, but for some milliseconds.
+    /// When it became ready. Its own timestamps count from this moment, give or take a few milliseconds.
     pub started_at: Instant,
 }
 
 impl Standin {
-    /// Starts the platform.
+    /// Starts the platform stand-in.
     ///
     /// # Errors
-    /// Fails when it does not get ready.
+    /// Fails when it does not become ready in time.
     pub async fn platform(programs: &Programs, scratch: &ScratchDirectory) -> Result<Self, XtaskError> {
         let arguments = ["--seconds", LIFETIME_SECONDS].map(str::to_owned);
-        Self::ready(ChildProcess::start("platform", &programs.platform, &arguments, scratch)?).await
+        Self::wait_until_ready(ChildProcess::start("platform", &programs.platform, &arguments, scratch)?)
+            .await
     }
 
     /// Starts the back end of a node.
     ///
     /// # Errors
-    /// Fails when it does not get ready.
+    /// Fails when it does not become ready in time.
     pub async fn back_end(
         programs: &Programs,
         placement: &Placement,
@@ -69,7 +70,7 @@
         let arguments: Vec<String> =
             flags.iter().flat_map(|(flag, value)| [(*flag).to_owned(), (*value).to_owned()]).collect();
         let name = format!("{}-back-end", placement.name);
-        Self::ready(ChildProcess::start(&name, &programs.backend, &arguments, scratch)?).await
+        Self::wait_until_ready(ChildProcess::start(&name, &programs.backend, &arguments, scratch)?).await
     }
 
     /// Its HTTP address.
@@ -78,52 +79,53 @@
         Peer { name: self.process.name(), address: self.address }
     }
 
-    /// What a back end truly ran.
+    /// The back end's ledger, which records the requests that it ran.
     ///
     /// # Errors
-    /// Fails when it does not answer.
+    /// Fails when the stand-in does not respond.
     pub async fn ledger(&self) -> Result<Ledger, XtaskError> {
         self.peer().get_json("/standin/ledger").await
     }
 
-    /// What the platform was asked.
+    /// The platform's request counters.
     ///
     /// # Errors
-    /// Fails when it does not answer.
+    /// Fails when the stand-in does not respond.
     pub async fn counters(&self) -> Result<CounterReport, XtaskError> {
         self.peer().get_json("/standin/counters").await
     }
 
-    /// Changes what it does wrong.
+    /// Changes the faults that the stand-in injects.
     ///
     /// # Errors
-    /// Fails when it does not answer.
+    /// Fails when the stand-in does not respond.
     pub async fn change_faults(&self, change: &impl Serialize) -> Result<(), XtaskError> {
         self.peer().post("/standin/faults", serde_json::to_vec(change)?).await
     }
 
-    async fn ready(mut process: ChildProcess) -> Result<Self, XtaskError> {
+    async fn wait_until_ready(mut process: ChildProcess) -> Result<Self, XtaskError> {
         let read = |line: &str| serde_json::from_str::<ReadyLine>(line).ok();
         let ready = process.wait_for_line(START_LIMIT, read).await?;
         Ok(Self { process, address: ready.address, started_at: Instant::now() })
     }
 }
 
-/// A caller at work.
+/// A running caller.
 #[derive(Debug)]
 pub struct RunningCaller {
     process: ChildProcess,
     report: std::path::PathBuf,
     limit: Duration,
-    /// When its first call was under way; its own times count from there, but for some milliseconds.
+    /// When it reported its start. Its own timestamps count from this moment, give or take a few
+    /// milliseconds.
     pub started_at: Instant,
 }
 
 impl RunningCaller {
-    /// Starts a caller and waits until its first call is under way.
+    /// Starts a caller and waits until it reports that its load has started.
     ///
     /// # Errors
-    /// Fails when it does not start.
+    /// Fails when the caller does not start in time.
     pub async fn start(
         programs: &Programs,
         plan: &LoadPlan,
@@ -142,10 +144,10 @@
         Ok(Self { process, report, limit, started_at: Instant::now() })
     }
 
-    /// Waits until all calls have ended and reads the record of their answers.
+    /// Waits until the caller exits and reads its report.
     ///
     /// # Errors
-    /// Fails when the caller does not end well in time.
+    /// Fails when the caller does not exit successfully in time, or its report can't be read.
     pub async fn finish(mut self) -> Result<CallerReport, XtaskError> {
         self.process.wait_for_success(self.limit).await?;
         let text = std::fs::read(&self.report).map_err(XtaskError::file(&self.report))?;
--- a/xtask/src/error.rs
+++ b/xtask/src/error.rs
@@ -1,4 +1,4 @@
-//! Everything that can stop a task before its checks.
+//! Errors of the tasks.
 
 use std::io;
 use std::path::PathBuf;
@@ -8,125 +8,125 @@
 use umberpond_model::InvalidName;
 use umberpond_net::HttpClientError;
 
-/// A task that could not be carried out.
+/// An error that keeps a task from running to its end.
 #[derive(Debug, Error)]
 pub enum XtaskError {
-    /// A file or folder could not be read or written.
-    #[error("the file {path} can't be used", path = path.display())]
+    /// A file or directory could not be read or written.
+    #[error("can't read or write {path}", path = path.display())]
     File {
         /// Its path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         #[source]
         source: io::Error,
     },
     /// A process could not be started.
-    #[error("{name} can't be started")]
+    #[error("can't start {name}")]
     Start {
         /// Name of the process.
         name: String,
-        /// Why.
+        /// The cause.
         #[source]
         source: io::Error,
     },
     /// A process could not be signalled or waited for.
-    #[error("{name} can't be signalled or waited for")]
-    Control {
+    #[error("can't signal or wait for {name}")]
+    ProcessControl {
         /// Name of the process.
         name: String,
-        /// Why.
+        /// The cause.
         #[source]
         source: io::Error,
     },
-    /// A process did not say in time that it is ready.
-    #[error("{name} did not get ready in time; its log is {log}", log = log.display())]
+    /// A process did not become ready, or did not print the expected output, in time.
+    #[error("{name} did not become ready in time; see its log {log}", log = log.display())]
     NotReady {
         /// Name of the process.
         name: String,
         /// Its log file.
         log: PathBuf,
     },
-    /// A process did not end in time.
-    #[error("{name} did not end in time; its log is {log}", log = log.display())]
-    NotEnded {
+    /// A process did not exit in time.
+    #[error("{name} did not exit in time; see its log {log}", log = log.display())]
+    NotExited {
         /// Name of the process.
         name: String,
         /// Its log file.
         log: PathBuf,
     },
-    /// A process ended with an error.
-    #[error("{name} ended with {status}; its log is {log}", log = log.display())]
+    /// A process exited without success.
+    #[error("{name} failed with {status}; see its log {log}", log = log.display())]
     Failed {
         /// Name of the process.
         name: String,
-        /// How it ended.
+        /// Its exit status.
         status: ExitStatus,
         /// Its log file.
         log: PathBuf,
     },
     /// An HTTP exchange with a process failed.
-    #[error("{name} did not answer")]
+    #[error("the HTTP request to {name} failed")]
     Http {
         /// Name of the process.
         name: String,
-        /// Why.
+        /// The cause.
         #[source]
         source: HttpClientError,
     },
     /// An HTTP exchange with a process took too long.
-    #[error("{name} did not answer in time")]
+    #[error("the HTTP request to {name} timed out")]
     HttpTimeout {
         /// Name of the process.
         name: String,
     },
-    /// A process answered something else than expected.
-    #[error("{name} answered with status {status}")]
-    BadAnswer {
+    /// A process responded with an unexpected status code.
+    #[error("{name} responded with status {status}")]
+    UnexpectedStatus {
         /// Name of the process.
         name: String,
-        /// Status code of the answer.
+        /// Status code of the response.
         status: u16,
     },
-    /// A request could not be put together.
-    #[error("the request is malformed")]
+    /// An HTTP request could not be built.
+    #[error("can't build the HTTP request")]
     Request(#[from] http::Error),
-    /// A text that should be JSON is not, or a value can't be written as JSON.
-    #[error("bad JSON")]
+    /// A text could not be parsed as JSON, or a value could not be serialized to it.
+    #[error("invalid JSON")]
     Json(#[from] serde_json::Error),
-    /// A file is no TOML, or has other keys than expected.
-    #[error("the file {path} can't be understood", path = path.display())]
-    Unreadable {
+    /// A file is not valid TOML, or has unexpected keys.
+    #[error("can't parse {path}", path = path.display())]
+    InvalidToml {
         /// Its path.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         #[source]
         source: Box<toml::de::Error>,
     },
-    /// Files of the users would be written into the repository.
-    #[error("{path} is inside the repository; choose a folder outside it", path = path.display())]
+    /// The output directory is inside the repository, where the users' files must not be written.
+    #[error("{path} is inside the repository; choose a directory outside it", path = path.display())]
     InsideRepository {
-        /// The folder asked for.
+        /// The requested directory.
         path: PathBuf,
     },
-    /// A table can't be written as TOML.
-    #[error("bad TOML")]
+    /// A value could not be serialized to TOML.
+    #[error("can't serialize TOML")]
     Toml(#[from] toml::ser::Error),
-    /// A name breaks the naming rule.
-    #[error("bad name")]
+    /// A name is not valid.
+    #[error("invalid name")]
     Name(#[from] InvalidName),
-    /// A condition did not come about in time.
-    #[error("gave up waiting until {condition}")]
+    /// A condition was not met in time, or a required resource is missing.
+    #[error("timed out waiting until {condition}")]
     TimedOut {
-        /// What was waited for.
+        /// The condition.
         condition: &'static str,
     },
-    /// The task was interrupted by a signal.
-    #[error("interrupted; every process was ended")]
+    /// The task was interrupted by SIGINT or SIGTERM.
+    #[error("interrupted; all child processes are killed")]
     Interrupted,
 }
 
 impl XtaskError {
-    /// A file error at `path`.
+    /// Returns a function that wraps an I/O error on `path`.
     pub fn file(path: impl Into<PathBuf>) -> impl FnOnce(io::Error) -> Self {
         let path = path.into();
         move |source| Self::File { path, source }
--- a/xtask/src/flags.rs
+++ b/xtask/src/flags.rs
@@ -1,4 +1,4 @@
-//! The command line.
+//! Command line flags.
 
 use std::path::PathBuf;
 
@@ -7,42 +7,43 @@
 
     /// Repository tasks.
     cmd xtask {
-        /// Builds everything, starts a small mesh of processes on loopback, applies bundles, calls through it,
-        /// drains and kills nodes, stops everything, and checks what callers were told against what ran.
+        /// Builds everything, starts a small mesh of processes on loopback, applies bundles, sends calls
+        /// through it, drains and kills nodes, stops everything, and checks the responses that callers
+        /// received against the requests that ran.
         cmd demo {
-            /// Also write every figure to this file, as JSON.
+            /// Also write the report to this file, as JSON.
             optional --json file: PathBuf
-            /// Keep the log files, also after success.
+            /// Keep the settings and log files, also after success.
             optional --keep-logs
         }
 
-        /// Builds everything, starts a small mesh behind proxies on loopback, plays random faults on it from outside, and
-        /// checks what callers and back ends saw.
+        /// Builds everything, starts a small mesh behind proxies on loopback, injects random faults from
+        /// outside, and checks the records of callers and back ends.
         cmd soak {
-            /// Name of the faults (drawn).
+            /// Seed of the faults (default: random).
             optional --seed seed: u64
-            /// Seconds in which faults begin and end (60).
+            /// Duration of the fault phase, in seconds (default: 60).
             optional --seconds seconds: u64
-            /// Nodes with a back end (7), at most 12.
+            /// Number of nodes with a back end, 7 to 12 (default: 7).
             optional --nodes nodes: usize
-            /// Keep the log files, also after success.
+            /// Keep the settings and log files, also after success.
             optional --keep-logs
         }
 
-        /// Compares two folders of reports of measured runs, run by run: worth, credit by kind of request, worth lost by
-        /// reason, and the mean difference with its standard error.
+        /// Compares two directories of reports of measured runs, run by run: worth, credit by kind of
+        /// request, worth lost by reason, and the mean difference with its standard error.
         cmd rounds {
-            /// Reports from before the change.
+            /// Directory with the reports from before the change.
             required --before folder: PathBuf
-            /// Reports from after it.
+            /// Directory with the reports from after the change.
             required --after folder: PathBuf
         }
 
-        /// Writes variants of a site file of the users' bench, by the recipes in `testing/variants/`.
+        /// Writes variants of a site file of the users' bench, from the recipes in `testing/variants/`.
         cmd variants {
-            /// The site file; it stays as it is.
+            /// The site file; it is not modified.
             required --site file: PathBuf
-            /// Folder for the variants, outside the repository.
+            /// Output directory of the variants, outside the repository.
             required --into folder: PathBuf
         }
     }
--- a/xtask/src/main.rs
+++ b/xtask/src/main.rs
@@ -1,4 +1,5 @@
-//! Repository tasks: `cargo xtask demo`, `cargo xtask soak`, `cargo xtask rounds` and `cargo xtask variants`.
+//! Repository tasks, run as `cargo xtask demo`, `cargo xtask soak`, `cargo xtask rounds` and `cargo xtask
+//! variants`.
 
 mod demo;
 mod error;
--- a/xtask/src/node_log.rs
+++ b/xtask/src/node_log.rs
@@ -1,8 +1,8 @@
-//! Lines of a node's JSON log, as far as the tasks of this crate read them.
+//! Parses the lines of a node's JSON log that the tasks read.
 
 use serde::Deserialize;
 
-/// Number of the event that tells an open listener, from the daemon's catalogue.
+/// Number of the `listening` event in the daemon's event catalogue.
 const LISTENING_EVENT: u64 = 1002;
 
 #[derive(Deserialize)]
@@ -19,7 +19,7 @@
     listener: String,
     #[serde(default)]
     address: String,
-    /// Version that the event is about; 0 if it is about none.
+    /// Configuration version that the event names; 0 if it names none.
     #[serde(default)]
     pub version: u64,
 }
@@ -28,16 +28,16 @@
 pub struct OpenListener {
     /// Name of the listener.
     pub name: String,
-    /// Its address; absent if it can't be read.
+    /// Its address; `None` if it can't be parsed.
     pub address: Option<std::net::SocketAddr>,
 }
 
-/// Fields of the event on `line`; `None` if the line is no event.
+/// Parses the fields of the event on `line`; `None` if the line is not an event.
 pub fn parse(line: &str) -> Option<LogFields> {
     serde_json::from_str::<LogLine>(line).ok().map(|line| line.kvs)
 }
 
-/// The listener that `line` tells of, if it tells of one.
+/// The listener that was opened, if `line` is a `listening` event.
 pub fn open_listener(line: &str) -> Option<OpenListener> {
     let fields = parse(line).filter(|fields| fields.event == LISTENING_EVENT)?;
     Some(OpenListener { address: fields.address.parse().ok(), name: fields.listener })
--- a/xtask/src/report/checks.rs
+++ b/xtask/src/report/checks.rs
@@ -1,4 +1,4 @@
-//! The invariants that the figures of a demo must keep.
+//! Checks the invariants on the report of a demo.
 
 use thiserror::Error;
 use umberpond_standins::FindingKind;
@@ -6,134 +6,134 @@
 
 use super::figures::{DemoReport, PhaseFigures, PhaseKind, StopFigures};
 
-/// Longest time until a version is in force everywhere, in milliseconds.
+/// Maximum time until a version is in force on all nodes, in milliseconds.
 const CONVERGENCE_LIMIT_MILLIS: u64 = 10_000;
 
-/// Most readers that the platform may have at once.
+/// Maximum number of concurrent readers of the platform.
 const READER_LIMIT: u64 = 40;
 
-/// Services that the loads call.
+/// Number of services that the loads call.
 const SERVICES: usize = 3;
 
-/// Versions that the demo submits.
+/// Number of versions that the demo submits.
 const VERSIONS: usize = 2;
 
-/// An invariant that a figure breaks.
+/// A broken invariant.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum BrokenInvariant {
-    /// Findings of one kind, which must not exist at all.
+    /// Findings of a kind that must never occur.
     #[error("{count} calls {what} (phase {phase}; first: {first})")]
     Finding {
         /// Phase of the calls.
         phase: &'static str,
-        /// What is wrong with them.
+        /// Kind of the findings.
         what: FindingKind,
-        /// How many there are.
+        /// Number of calls.
         count: u64,
-        /// Path of the first.
+        /// Request path of the first.
         first: String,
     },
-    /// Calls that a phase without a death must answer.
+    /// Unanswered calls in a phase in which no node is killed.
     #[error("{count} of {calls} calls were {outcome} in phase {phase}, in which every call must be answered")]
     NotAnswered {
         /// Phase of the calls.
         phase: &'static str,
-        /// What became of them.
+        /// Outcome of the calls.
         outcome: Outcome,
-        /// How many there are.
+        /// Number of calls.
         count: u64,
-        /// All calls of the phase.
+        /// Number of all calls of the phase.
         calls: u64,
     },
-    /// A phase that shows nothing, as nothing was answered.
+    /// A phase in which a service answered no call, so that its checks prove nothing.
     #[error("only {answered} of {SERVICES} services answered a call in phase {phase}")]
-    NothingShown {
+    UnansweredService {
         /// The phase.
         phase: &'static str,
-        /// Services that answered.
+        /// Number of services that answered a call.
         answered: usize,
     },
-    /// Work in a place where its service is not allowed.
+    /// Requests that ran in a locality where their service is not allowed.
     #[error("{count} requests ran in a locality that their service does not allow")]
     DisallowedLocality {
-        /// How many.
+        /// Number of requests.
         count: u64,
     },
-    /// New work for a back end that left.
-    #[error("the back end of {node} began {count} requests after its drain")]
-    WorkAfterDrain {
+    /// Requests that a drained node's back end received after the grace period.
+    #[error("the back end of {node} started {count} requests after it was drained")]
+    RequestsAfterDrain {
         /// The node.
         node: String,
-        /// How many.
+        /// Number of requests.
         count: u64,
     },
-    /// A drain or a death that shows nothing.
-    #[error("the back end of {node} had no work before its node left, so its leaving shows nothing")]
-    NoWorkBefore {
+    /// A drain or kill of a node whose back end had run no requests, so that the step proves nothing.
+    #[error("the back end of {node} ran no requests before the node was stopped, so the step proves nothing")]
+    NoRequestsBefore {
         /// The node.
         node: String,
     },
-    /// Calls that failed although a death was long past.
-    #[error("{count} calls failed long after {node} was killed")]
+    /// Calls that failed after the grace period of a killed node.
+    #[error("{count} calls failed after the grace period of the killed node {node}")]
     LateFailures {
         /// The node.
         node: String,
-        /// How many.
+        /// Number of calls.
         count: u64,
     },
-    /// A step of the demo that is missing from the figures.
-    #[error("the demo did not come to this: {step}")]
-    Missing {
+    /// A step of the demo that is missing from the report.
+    #[error("the report lacks a step: {step}")]
+    MissingStep {
         /// The step.
         step: &'static str,
     },
-    /// A version that took too long, or never came into force everywhere.
+    /// A version that took too long to be in force on all nodes, or never was.
     #[error("version {version} was not in force everywhere within {CONVERGENCE_LIMIT_MILLIS} ms")]
     NotInForce {
         /// The version.
         version: u64,
     },
-    /// Versions out of order.
+    /// Versions that do not increase in order of submission.
     #[error("version {later} was accepted after version {earlier}")]
     VersionsOutOfOrder {
-        /// The one accepted first.
+        /// The version accepted first.
         earlier: u64,
-        /// The one accepted then.
+        /// The version accepted next.
         later: u64,
     },
-    /// The second version was said to be in force, but its route was not served.
+    /// The second version was reported in force, but calls to its route failed or none were sent.
     #[error("{answered} of {calls} calls of the second version's route were answered")]
     SecondVersionNotServed {
-        /// Calls.
+        /// Number of calls.
         calls: u64,
-        /// Answered calls.
+        /// Number of answered calls.
         answered: u64,
     },
-    /// A process that did not end well after SIGTERM.
-    #[error("{name} did not end well after SIGTERM: exit code {exit_code:?} after {millis} ms")]
-    BadStop {
+    /// A process that did not exit successfully after SIGTERM.
+    #[error("{name} did not exit successfully after SIGTERM: exit code {exit_code:?} after {millis} ms")]
+    UncleanStop {
         /// The process.
         name: String,
-        /// Its exit code, if it ended by itself.
+        /// Its exit code; `None` if it did not exit in time or was killed by a signal.
         exit_code: Option<i32>,
         /// Time waited, in milliseconds.
         millis: u64,
     },
-    /// More readers than the platform bears.
-    #[error("the platform had {readers} readers at once; it bears {READER_LIMIT}")]
+    /// More concurrent readers of the platform than allowed.
+    #[error("the platform had {readers} concurrent readers; at most {READER_LIMIT} are allowed")]
     TooManyReaders {
-        /// How many.
+        /// Number of readers.
         readers: u64,
     },
 }
 
-/// Every invariant that `report` breaks.
+/// Returns every invariant that `report` breaks.
 #[must_use]
 pub fn broken_invariants(report: &DemoReport) -> Vec<BrokenInvariant> {
     let mut broken = Vec::new();
     for kind in [PhaseKind::Direct, PhaseKind::Steady, PhaseKind::Drain, PhaseKind::Kill, PhaseKind::Apply] {
         if !report.phases.iter().any(|phase| phase.kind == kind) {
-            broken.push(BrokenInvariant::Missing { step: kind.name() });
+            broken.push(BrokenInvariant::MissingStep { step: kind.name() });
         }
     }
     for phase in &report.phases {
@@ -154,7 +154,8 @@
 }
 
 fn check_findings(phase: &PhaseFigures, broken: &mut Vec<BrokenInvariant>) {
-    // Truncated answers depend on the phase, and localities are counted once over all phases.
+    // Truncated responses are allowed in some phases, and disallowed localities are counted once over all
+    // phases.
     let never = [
         FindingKind::RanTwice,
         FindingKind::RejectedButRan,
@@ -177,7 +178,7 @@
 fn check_answers(phase: &PhaseFigures, broken: &mut Vec<BrokenInvariant>) {
     let name = phase.kind.name();
     if phase.services_answered < SERVICES {
-        broken.push(BrokenInvariant::NothingShown { phase: name, answered: phase.services_answered });
+        broken.push(BrokenInvariant::UnansweredService { phase: name, answered: phase.services_answered });
     }
     if phase.kind == PhaseKind::Kill {
         return;
@@ -193,7 +194,7 @@
 
 fn check_versions(report: &DemoReport, broken: &mut Vec<BrokenInvariant>) {
     if report.versions.len() < VERSIONS {
-        broken.push(BrokenInvariant::Missing { step: "two accepted versions" });
+        broken.push(BrokenInvariant::MissingStep { step: "two accepted versions" });
     }
     for version in &report.versions {
         let is_in_time = version.everywhere_millis.is_some_and(|millis| millis <= CONVERGENCE_LIMIT_MILLIS);
@@ -215,26 +216,26 @@
 
 fn check_drain(report: &DemoReport, broken: &mut Vec<BrokenInvariant>) {
     let Some(drain) = &report.drain else {
-        broken.push(BrokenInvariant::Missing { step: "a planned stop" });
+        broken.push(BrokenInvariant::MissingStep { step: "a graceful stop" });
         return;
     };
     if drain.runs_before == 0 {
-        broken.push(BrokenInvariant::NoWorkBefore { node: drain.node.clone() });
+        broken.push(BrokenInvariant::NoRequestsBefore { node: drain.node.clone() });
     }
     if drain.runs_after_grace > 0 {
         let count = drain.runs_after_grace;
-        broken.push(BrokenInvariant::WorkAfterDrain { node: drain.node.clone(), count });
+        broken.push(BrokenInvariant::RequestsAfterDrain { node: drain.node.clone(), count });
     }
     check_stop(&drain.stop, broken);
 }
 
 fn check_kill(report: &DemoReport, broken: &mut Vec<BrokenInvariant>) {
     let Some(kill) = &report.kill else {
-        broken.push(BrokenInvariant::Missing { step: "a killed node" });
+        broken.push(BrokenInvariant::MissingStep { step: "a killed node" });
         return;
     };
     if kill.runs_before == 0 {
-        broken.push(BrokenInvariant::NoWorkBefore { node: kill.node.clone() });
+        broken.push(BrokenInvariant::NoRequestsBefore { node: kill.node.clone() });
     }
     if kill.late_failures > 0 {
         let count = kill.late_failures;
@@ -244,7 +245,7 @@
 
 fn check_stop(stop: &StopFigures, broken: &mut Vec<BrokenInvariant>) {
     if stop.exit_code != Some(0) {
-        broken.push(BrokenInvariant::BadStop {
+        broken.push(BrokenInvariant::UncleanStop {
             name: stop.name.clone(),
             exit_code: stop.exit_code,
             millis: stop.millis,
--- a/xtask/src/report/figures.rs
+++ b/xtask/src/report/figures.rs
@@ -1,18 +1,18 @@
-//! The figures of a demo.
+//! The report of a demo.
 
 use serde::Serialize;
 use umberpond_standins::caller::{Latencies, Outcome};
 use umberpond_standins::{Finding, FindingKind, Reconciliation};
 
-/// What happens while a load runs.
+/// What is done to the mesh while a load runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PhaseKind {
-    /// Calls go to the back ends directly; the baseline.
+    /// Calls go directly to the back ends, as the baseline.
     Direct,
-    /// Calls go through the mesh and nothing happens.
+    /// Calls go through the mesh, and nothing is done to it.
     Steady,
-    /// A node is stopped as planned.
+    /// A node is stopped gracefully.
     Drain,
     /// A node is killed.
     Kill,
@@ -34,21 +34,21 @@
     }
 }
 
-/// One load, compared with the ledgers.
+/// Results of one load, reconciled with the back ends' ledgers.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct PhaseFigures {
-    /// What happened meanwhile.
+    /// What was done to the mesh during the load.
     pub kind: PhaseKind,
-    /// Calls and what became of them. Its locality count covers the whole demo.
+    /// Outcomes of the calls. Its count of disallowed localities covers the whole demo.
     pub reconciliation: Reconciliation,
     /// Latencies of the answered calls.
     pub latencies: Latencies,
-    /// Services with at least one answered call.
+    /// Number of services with at least one answered call.
     pub services_answered: usize,
 }
 
 impl PhaseFigures {
-    /// Calls with that outcome.
+    /// Number of calls with `outcome`.
     #[must_use]
     pub const fn count(&self, outcome: Outcome) -> u64 {
         match outcome {
@@ -66,7 +66,7 @@
     }
 }
 
-/// What the mesh adds to the latency of a call, in microseconds.
+/// Latency that the mesh adds to a call, in microseconds.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct LatencyFigures {
     /// At the median.
@@ -90,103 +90,105 @@
 /// A version that was submitted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct AppliedVersion {
-    /// The version, as the command line told it.
+    /// The version number that the command printed.
     pub version: u64,
-    /// Time from the start of the command until it said that the version is in force everywhere, in milliseconds.
+    /// Time from the start of the command until it exited, in milliseconds. It waits until the version is in
+    /// force on all nodes.
     pub command_millis: u64,
-    /// Time from the start of the command until the last node showed it in force, seen from outside; `None` if a
-    /// node never did.
+    /// Time from the start of the command until the last node reported the version in force, in milliseconds;
+    /// `None` if a node never did.
     pub everywhere_millis: Option<u64>,
 }
 
-/// The planned stop of one node.
+/// The graceful stop of one node under load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct DrainFigures {
     /// The node.
     pub node: String,
-    /// Requests that its back end began before the stop.
+    /// Requests that its back end started to run before the stop.
     pub runs_before: u64,
-    /// Requests that its back end began later than the time allowed after the signal.
+    /// Requests that its back end started to run after the grace period that follows the signal.
     pub runs_after_grace: u64,
-    /// How it ended.
+    /// How the process exited.
     pub stop: StopFigures,
 }
 
-/// The death of one node.
+/// The kill of one node under load.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct KillFigures {
     /// The node.
     pub node: String,
-    /// Requests that its back end began before the death.
+    /// Requests that its back end started to run before the kill.
     pub runs_before: u64,
-    /// Calls due later than the time allowed after the death that were not answered.
+    /// Unanswered calls that were due after the grace period that follows the kill.
     pub late_failures: u64,
 }
 
-/// How a process ended after SIGTERM.
+/// How a process exited after SIGTERM.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct StopFigures {
     /// The process.
     pub name: String,
-    /// Time until it ended, in milliseconds.
+    /// Time until it exited, in milliseconds.
     pub millis: u64,
-    /// Its exit code; `None` if it did not end in time or ended by a signal.
+    /// Its exit code; `None` if it did not exit in time or was killed by a signal.
     pub exit_code: Option<i32>,
 }
 
-/// Control traffic of all nodes, from their metrics.
+/// Control traffic of the nodes, from their metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize)]
 pub struct ControlFigures {
-    /// Nodes whose metrics were read.
+    /// Number of nodes whose metrics were read.
     pub nodes: usize,
-    /// Bytes a node and second, received and sent, on average over the nodes.
+    /// Bytes per second and node, received and sent, averaged over the nodes.
     pub mean_bytes_per_second: f64,
-    /// The same of the busiest node.
+    /// Bytes per second of the node with the most control traffic.
     pub max_bytes_per_second: f64,
-    /// Bytes a node, on average over the whole run.
+    /// Bytes per node over the whole run, averaged over the nodes.
     pub mean_bytes: f64,
 }
 
-/// What the platform bore.
+/// Load on the platform.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
 pub struct PlatformFigures {
-    /// Greatest number of distinct readers in a window of ten seconds, as the platform could tell them apart.
+    /// Maximum number of distinct readers in a window of ten seconds, as far as the platform can distinguish
+    /// them.
     pub greatest_readers: u64,
-    /// Nodes that ever sent a request to the platform, by their own metrics.
+    /// Number of nodes that sent any request to the platform, by their own metrics.
     pub nodes_with_requests: u64,
-    /// All requests.
+    /// Number of requests to the platform.
     pub requests: u64,
 }
 
-/// Every figure of a demo.
+/// The full report of a demo.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct DemoReport {
-    /// Nodes started, the edge included.
+    /// Number of nodes started, including the edge node.
     pub nodes: usize,
-    /// The loads in order.
+    /// Results of the loads, in order.
     pub phases: Vec<PhaseFigures>,
-    /// Added latency.
+    /// Latency added by the mesh.
     pub latency: LatencyFigures,
     /// The versions submitted, in order.
     pub versions: Vec<AppliedVersion>,
-    /// Calls of the route that only the second version has, and those of them that were answered.
+    /// Number of calls to the route that only the second version has.
     pub second_version_calls: u64,
-    /// See above.
+    /// Number of those calls that were answered.
     pub second_version_answered: u64,
     /// Requests that ran in a locality which their service does not allow.
     pub disallowed_runs: u64,
-    /// The planned stop.
+    /// The graceful stop of a node.
     pub drain: Option<DrainFigures>,
-    /// The death.
+    /// The kill of a node.
     pub kill: Option<KillFigures>,
     /// Control traffic.
     pub control: ControlFigures,
-    /// What the platform bore.
+    /// Load on the platform.
     pub platform: PlatformFigures,
-    /// The stops at the end.
+    /// How the processes exited at the end.
     pub stops: Vec<StopFigures>,
-    /// Time of the whole demo after the build, in milliseconds.
+    /// Duration of the demo without the build, in milliseconds.
     pub total_millis: u64,
-    /// Invariants that did not hold.
+    /// Messages of the broken invariants.
     pub broken: Vec<String>,
 }
--- a/xtask/src/report/mod.rs
+++ b/xtask/src/report/mod.rs
@@ -1,4 +1,4 @@
-//! The figures of a demo, the invariants they must keep, and the table.
+//! The report of a demo, the checks of its invariants, and its table.
 
 mod checks;
 mod figures;
--- a/xtask/src/report/table.rs
+++ b/xtask/src/report/table.rs
@@ -1,11 +1,11 @@
-//! The table that the demo prints.
+//! Prints the report of a demo as a table.
 
 use super::figures::{DemoReport, PhaseFigures};
 
 /// Width of the first column, in characters.
 const LABEL_WIDTH: usize = 42;
 
-/// Prints every figure for people.
+/// Prints the report as a table.
 pub fn print_table(report: &DemoReport) {
     print_phases(report);
     println!();
@@ -21,22 +21,22 @@
     let served = format!("{} of {}", report.second_version_answered, report.second_version_calls);
     print_line("calls of the second version's route", &format!("{served} answered"));
     print_line("runs in a disallowed locality", &report.disallowed_runs.to_string());
-    print_leaving(report);
+    print_departures(report);
     let control = &report.control;
     let rate = format!(
-        "{:.0} B/s mean, {:.0} B/s busiest, {:.0} B a node in all",
+        "{:.0} B/s mean, {:.0} B/s busiest, {:.0} B per node in total",
         control.mean_bytes_per_second, control.max_bytes_per_second, control.mean_bytes
     );
-    print_line("control traffic a node", &rate);
+    print_line("control traffic per node", &rate);
     let platform = &report.platform;
     let readers = format!(
-        "{} readers at once, {} nodes ever, {} requests",
+        "{} concurrent readers, {} nodes with requests, {} requests",
         platform.greatest_readers, platform.nodes_with_requests, platform.requests
     );
     print_line("platform", &readers);
     let slowest = report.stops.iter().map(|stop| stop.millis).max().unwrap_or(0);
     print_line("processes stopped at the end", &format!("{}, slowest {slowest} ms", report.stops.len()));
-    print_line("whole demo after the build", &format!("{} ms", report.total_millis));
+    print_line("whole demo without the build", &format!("{} ms", report.total_millis));
 }
 
 fn print_phases(report: &DemoReport) {
@@ -75,17 +75,20 @@
     );
 }
 
-fn print_leaving(report: &DemoReport) {
+fn print_departures(report: &DemoReport) {
     if let Some(drain) = &report.drain {
         let value = format!(
-            "ended after {} ms; {} requests before, {} after the grace",
+            "exited after {} ms; {} requests before, {} after the grace period",
             drain.stop.millis, drain.runs_before, drain.runs_after_grace
         );
-        print_line(&format!("planned stop of {}", drain.node), &value);
+        print_line(&format!("graceful stop of {}", drain.node), &value);
     }
     if let Some(kill) = &report.kill {
-        let value = format!("{} requests before, {} calls failed late", kill.runs_before, kill.late_failures);
-        print_line(&format!("death of {}", kill.node), &value);
+        let value = format!(
+            "{} requests before, {} calls failed after the grace period",
+            kill.runs_before, kill.late_failures
+        );
+        print_line(&format!("kill of {}", kill.node), &value);
     }
 }
 
--- a/xtask/src/report/tests.rs
+++ b/xtask/src/report/tests.rs
@@ -1,4 +1,4 @@
-//! The checks of the demo: each is shown to fail on figures that break it.
+//! Tests that each check of the demo fails on a report that breaks its invariant.
 
 use umberpond_standins::caller::{Latencies, Outcome};
 use umberpond_standins::{Finding, FindingKind, Reconciliation};
@@ -24,7 +24,7 @@
     AppliedVersion { version, command_millis: 200, everywhere_millis }
 }
 
-fn clean() -> DemoReport {
+fn passing_report() -> DemoReport {
     DemoReport {
         nodes: 13,
         phases: KINDS.into_iter().map(phase).collect(),
@@ -43,9 +43,9 @@
     }
 }
 
-/// The one invariant that is broken after `change`.
+/// Applies `change` to a passing report and returns the single invariant that it breaks.
 fn broken_by(change: impl FnOnce(&mut DemoReport)) -> BrokenInvariant {
-    let mut report = clean();
+    let mut report = passing_report();
     change(&mut report);
     let mut broken = broken_invariants(&report);
     assert_eq!(broken.len(), 1, "{broken:?}");
@@ -53,16 +53,16 @@
 }
 
 #[test]
-fn a_clean_run_breaks_nothing_and_a_death_may_leave_calls_unknown() {
-    assert_eq!(broken_invariants(&clean()), []);
-    let mut report = clean();
+fn a_passing_run_breaks_nothing_and_a_kill_may_leave_calls_unknown() {
+    assert_eq!(broken_invariants(&passing_report()), []);
+    let mut report = passing_report();
     report.phases[3].reconciliation.unknown = 2;
     report.phases[3].reconciliation.truncated = 1;
     assert_eq!(broken_invariants(&report), []);
 }
 
 #[test]
-fn findings_that_must_never_be_are_named_in_every_phase() {
+fn forbidden_findings_are_reported_in_every_phase() {
     let kinds = [
         FindingKind::RanTwice,
         FindingKind::RejectedButRan,
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_planned_stop_must_answer_every_call() {
+fn unanswered_calls_during_a_graceful_stop_are_reported() {
     let broken = broken_by(|report| report.phases[2].reconciliation.rejected = 1);
     let outcome = Outcome::Rejected;
     assert_eq!(broken, BrokenInvariant::NotAnswered { phase: "drain", outcome, count: 1, calls: 10 });
@@ -96,19 +96,19 @@
 }
 
 #[test]
-fn leaving_nodes_must_have_had_work_and_get_none_after() {
+fn requests_after_a_stop_and_stops_without_prior_requests_are_reported() {
     let broken = broken_by(|report| report.drain.as_mut().unwrap().runs_after_grace = 1);
-    assert_eq!(broken, BrokenInvariant::WorkAfterDrain { node: "solver-2".to_owned(), count: 1 });
+    assert_eq!(broken, BrokenInvariant::RequestsAfterDrain { node: "solver-2".to_owned(), count: 1 });
     let broken = broken_by(|report| report.drain.as_mut().unwrap().runs_before = 0);
-    assert_eq!(broken, BrokenInvariant::NoWorkBefore { node: "solver-2".to_owned() });
+    assert_eq!(broken, BrokenInvariant::NoRequestsBefore { node: "solver-2".to_owned() });
     let broken = broken_by(|report| report.kill.as_mut().unwrap().late_failures = 1);
     assert_eq!(broken, BrokenInvariant::LateFailures { node: "archive-2".to_owned(), count: 1 });
     let broken = broken_by(|report| report.kill.as_mut().unwrap().runs_before = 0);
-    assert_eq!(broken, BrokenInvariant::NoWorkBefore { node: "archive-2".to_owned() });
+    assert_eq!(broken, BrokenInvariant::NoRequestsBefore { node: "archive-2".to_owned() });
 }
 
 #[test]
-fn versions_must_come_into_force_in_order_and_in_time() {
+fn late_unordered_and_unserved_versions_are_reported() {
     let broken = broken_by(|report| report.versions[1].everywhere_millis = None);
     assert_eq!(broken, BrokenInvariant::NotInForce { version: 2 });
     let broken = broken_by(|report| report.versions[0].everywhere_millis = Some(10_001));
@@ -120,15 +120,15 @@
 }
 
 #[test]
-fn localities_stops_readers_and_missing_steps_are_checked() {
+fn disallowed_localities_failed_stops_excess_readers_and_missing_steps_are_reported() {
     let broken = broken_by(|report| report.disallowed_runs = 1);
     assert_eq!(broken, BrokenInvariant::DisallowedLocality { count: 1 });
     let broken = broken_by(|report| report.stops.push(stop(None)));
-    assert!(matches!(broken, BrokenInvariant::BadStop { exit_code: None, .. }));
+    assert!(matches!(broken, BrokenInvariant::UncleanStop { exit_code: None, .. }));
     let broken = broken_by(|report| report.platform.greatest_readers = 41);
     assert_eq!(broken, BrokenInvariant::TooManyReaders { readers: 41 });
     let broken = broken_by(|report| report.phases[1].services_answered = 2);
-    assert_eq!(broken, BrokenInvariant::NothingShown { phase: "steady", answered: 2 });
+    assert_eq!(broken, BrokenInvariant::UnansweredService { phase: "steady", answered: 2 });
     let broken = broken_by(|report| report.kill = None);
-    assert_eq!(broken, BrokenInvariant::Missing { step: "a killed node" });
+    assert_eq!(broken, BrokenInvariant::MissingStep { step: "a killed node" });
 }
--- a/xtask/src/rounds/comparison.rs
+++ b/xtask/src/rounds/comparison.rs
@@ -1,17 +1,17 @@
-//! What differs between two sets of runs.
+//! Compares two sets of measured runs.
 
 use std::collections::BTreeMap;
 
 use super::report::{ReportSet, RequestGroup, RunReport};
 
-/// Two sets of runs, paired.
+/// The comparison of two sets of runs, paired by name.
 #[derive(Debug)]
 pub struct Comparison {
-    /// The runs that both sets have.
+    /// Runs that are in both sets.
     pub runs: Vec<RunPair>,
-    /// Names of the runs that only one set has.
+    /// Names of runs that are in one set only.
     pub unpaired: Vec<String>,
-    /// Difference of the worth over all pairs.
+    /// Difference of the worth, over all pairs.
     pub worth: Difference,
     /// Mean share of the worth lost, by reason.
     pub prices: BTreeMap<String, Change>,
@@ -19,46 +19,46 @@
     pub kinds: BTreeMap<String, Change>,
 }
 
-/// One day and seed in both sets.
+/// Reports of the same day and seed from both sets.
 #[derive(Debug)]
 pub struct RunPair {
     /// Name of both reports.
     pub name: String,
-    /// Its worth.
+    /// Worth of the run.
     pub worth: Change,
-    /// The window in which the least credit was earned after the change.
+    /// The window with the lowest credit in the run after the change.
     pub worst_window: Option<RequestGroup>,
-    /// Rules broken after the change.
+    /// Names of the rules broken in the run after the change.
     pub broken: Vec<String>,
 }
 
-/// A figure before and after.
+/// A figure before and after the change.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Change {
-    /// Before.
+    /// Value before the change.
     pub before: f64,
-    /// After.
+    /// Value after the change.
     pub after: f64,
 }
 
 impl Change {
-    /// How much more it is after the change.
+    /// Value after the change minus the value before it.
     pub fn difference(self) -> f64 {
         self.after - self.before
     }
 }
 
-/// Difference over several pairs.
+/// Mean difference over several pairs, with its standard error.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct Difference {
-    /// Mean.
+    /// Mean of the differences.
     pub mean: f64,
     /// Standard error of the mean; 0 with fewer than two pairs.
     pub error: f64,
 }
 
 impl Difference {
-    /// Over the differences of all pairs.
+    /// Computes the mean and standard error of `differences`.
     pub fn of(differences: &[f64]) -> Self {
         let count = differences.len() as f64;
         if differences.is_empty() {
@@ -111,7 +111,7 @@
     }
 }
 
-/// Means over all pairs of the named figures of a report.
+/// Averages the named figures of the reports over all pairs.
 fn means(
     pairs: &[(&String, &RunReport, &RunReport)],
     figures: impl Fn(&RunReport) -> Vec<(String, f64)>,
--- a/xtask/src/rounds/mod.rs
+++ b/xtask/src/rounds/mod.rs
@@ -1,6 +1,8 @@
-//! `cargo xtask rounds`: compares two sets of measured runs, run by run, with the mean difference and its spread.
+//! `cargo xtask rounds`: compares two sets of measured runs, run by run, with the mean difference and its
+//! standard error.
 //!
-//! A set is a folder of reports that the users' bench wrote; reports of the same file name are of the same day and seed.
+//! A set is a directory of reports written by the users' bench. Reports with the same file name belong to the
+//! same day and seed.
 
 mod comparison;
 mod report;
@@ -15,7 +17,7 @@
 use comparison::Comparison;
 use report::ReportSet;
 
-/// Reads both sets and prints what differs.
+/// Reads both sets and prints their comparison; the exit code reports a failure if no run is in both sets.
 pub fn run(options: &Rounds) -> Result<ExitCode, XtaskError> {
     let before = ReportSet::read(&options.before)?;
     let after = ReportSet::read(&options.after)?;
--- a/xtask/src/rounds/report.rs
+++ b/xtask/src/rounds/report.rs
@@ -1,4 +1,4 @@
-//! Reports of measured runs.
+//! Reads the reports of measured runs.
 
 use std::collections::BTreeMap;
 use std::ffi::OsStr;
@@ -9,17 +9,17 @@
 
 use crate::error::XtaskError;
 
-/// The reports of one folder, by file name.
+/// The reports of one directory.
 #[derive(Debug, Default)]
 pub struct ReportSet {
-    /// The reports.
+    /// The reports by file name, without the extension.
     pub runs: BTreeMap<String, RunReport>,
 }
 
-/// The report of one run, as far as it is compared.
+/// The fields of a run's report that are compared.
 #[derive(Debug, Clone, Deserialize)]
 pub struct RunReport {
-    /// Worth of the run, prices taken off.
+    /// Worth of the run, after deducting the prices.
     #[serde(rename = "G")]
     pub worth: f64,
     /// Share of the worth lost, by reason.
@@ -28,21 +28,21 @@
     /// Requests by kind.
     #[serde(default, rename = "classes")]
     pub kinds: Vec<RequestGroup>,
-    /// Requests by the two seconds in which they began.
+    /// Requests by the window of two seconds in which they started.
     #[serde(default)]
     pub windows: Vec<RequestGroup>,
-    /// Rules broken, with how often.
+    /// Broken rules, with the number of times.
     #[serde(default)]
     pub breaks: BTreeMap<String, serde_json::Value>,
 }
 
-/// What one reason costs.
+/// The worth lost for one reason.
 #[derive(Debug, Clone, Deserialize)]
 #[serde(from = "(String, f64, f64)")]
 pub struct Price {
     /// The reason.
     pub reason: String,
-    /// Share of the worth.
+    /// Share of the worth that is lost.
     pub share: f64,
 }
 
@@ -57,17 +57,17 @@
 pub struct RequestGroup {
     /// Name of the group.
     pub name: String,
-    /// Requests sent.
+    /// Number of requests sent.
     #[serde(rename = "n")]
     pub sent: u64,
-    /// Requests answered within their objective.
+    /// Number of requests answered within their latency objective.
     #[serde(rename = "in_aim")]
     pub in_time: u64,
-    /// Requests answered after it.
+    /// Number of requests answered after their latency objective.
     pub late: u64,
-    /// Requests refused.
+    /// Number of requests refused.
     pub refused: u64,
-    /// Requests that failed.
+    /// Number of requests that failed.
     pub failed: u64,
     /// Share of the credit earned.
     #[serde(rename = "worth")]
@@ -75,14 +75,14 @@
 }
 
 impl ReportSet {
-    /// Reads every report of `folder`.
+    /// Reads every report (`*.json`) in `directory`.
     ///
     /// # Errors
-    /// Returns [`XtaskError`] if a file can't be read or is no report.
-    pub fn read(folder: &Path) -> Result<Self, XtaskError> {
+    /// Fails when the directory or a file can't be read, or a file is not a valid report.
+    pub fn read(directory: &Path) -> Result<Self, XtaskError> {
         let mut set = Self::default();
-        for entry in fs::read_dir(folder).map_err(XtaskError::file(folder))? {
-            let path = entry.map_err(XtaskError::file(folder))?.path();
+        for entry in fs::read_dir(directory).map_err(XtaskError::file(directory))? {
+            let path = entry.map_err(XtaskError::file(directory))?.path();
             if path.extension() != Some(OsStr::new("json")) {
                 continue;
             }
--- a/xtask/src/rounds/table.rs
+++ b/xtask/src/rounds/table.rs
@@ -1,26 +1,26 @@
-//! Prints a comparison.
+//! Prints a comparison as a table.
 
 use super::comparison::{Change, Comparison, RunPair};
 
-/// Changes of a price below this share of the worth are left out.
-const LEAST_PRICE_CHANGE: f64 = 0.000_5;
+/// Price changes below this share of the worth are not printed.
+const MIN_PRICE_CHANGE: f64 = 0.000_5;
 
-/// Prints the runs, what they lose by reason, and the mean difference.
+/// Prints the runs, the credit by kind of request, the worth lost by reason, and the mean difference.
 pub fn print(comparison: &Comparison) {
     println!("{:<40} {:>8} {:>8} {:>8}  worst window after", "run", "before", "after", "change");
     for run in &comparison.runs {
         print_run(run);
     }
     for name in &comparison.unpaired {
-        println!("{name:<40} in one set only, left out");
+        println!("{name:<40} in one set only, not compared");
     }
     println!("\ncredit earned by kind of request, mean");
     for (name, change) in &comparison.kinds {
         print_change(name, *change);
     }
-    println!("\nworth lost by reason, mean, where it has changed");
+    println!("\nworth lost by reason, mean, changes only");
     for (name, change) in &comparison.prices {
-        if change.difference().abs() >= LEAST_PRICE_CHANGE {
+        if change.difference().abs() >= MIN_PRICE_CHANGE {
             print_change(name, *change);
         }
     }
--- a/xtask/src/rounds/tests.rs
+++ b/xtask/src/rounds/tests.rs
@@ -1,4 +1,4 @@
-//! Comparison of two sets of runs.
+//! Tests of the comparison of two sets of runs.
 
 use super::comparison::{Change, Comparison, Difference};
 use super::report::{ReportSet, RunReport};
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn runs_are_paired_by_name_and_the_rest_is_named() {
+fn runs_are_paired_by_name_and_unpaired_runs_are_listed() {
     let before = set(&[("one", 0.5), ("two", 0.6), ("only-before", 0.1)]);
     let after = set(&[("one", 0.6), ("two", 0.8), ("only-after", 0.9)]);
     let comparison = Comparison::of(&before, &after);
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn one_pair_has_no_spread_and_none_no_difference() {
+fn one_pair_has_no_standard_error_and_no_pairs_have_no_difference() {
     assert_eq!(Difference::of(&[0.25]), Difference { mean: 0.25, error: 0.0 });
     assert_eq!(Difference::of(&[]), Difference::default());
 }
--- a/xtask/src/soak/budget.rs
+++ b/xtask/src/soak/budget.rs
@@ -1,4 +1,5 @@
-//! Whether all nodes together sent no more again than the retry budget allows, by what callers sent and back ends ran.
+//! Checks that all nodes together retried no more requests than the retry budget allows. The check compares
+//! the requests that callers sent with the requests that back ends ran.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,24 +9,24 @@
 use umberpond_standins::caller::Answer;
 use umberpond_standins::{RetryAllowance, ServiceTimes};
 
-/// The budget of nodes whose settings don't name one.
+/// The default retry budget, which the nodes use as their settings don't set one.
 const ALLOWANCE: RetryAllowance =
     RetryAllowance { ratio: 0.1, extra: 10.0, window_millis: 10_000, clock_error_millis: 200 };
 
-/// What callers sent and back ends ran, on one clock.
+/// Times of the requests that callers sent and of the retries that back ends ran, on a common clock.
 #[derive(Debug)]
 pub struct RetryRecord {
-    began: Instant,
+    epoch: Instant,
     times: BTreeMap<ServiceName, ServiceTimes>,
 }
 
 impl RetryRecord {
-    /// An empty record; its times count from `began`.
-    pub fn new(began: Instant) -> Self {
-        Self { began, times: BTreeMap::new() }
+    /// Creates an empty record whose times count from `epoch`.
+    pub fn new(epoch: Instant) -> Self {
+        Self { epoch, times: BTreeMap::new() }
     }
 
-    /// Takes in the calls of a caller that started at `started_at`.
+    /// Adds the calls of a caller that started at `started_at`.
     pub fn add_calls(&mut self, started_at: Instant, answers: &[Answer]) {
         let offset = self.millis(started_at);
         for answer in answers {
@@ -34,35 +35,37 @@
         }
     }
 
-    /// Takes in what back ends ran, each with the moment at which it had started.
+    /// Adds the ledgers of back ends, each with the time at which the back end started.
     pub fn add_runs(&mut self, ledgers: &[(Instant, Ledger)]) {
         let mut ran: BTreeSet<&str> = BTreeSet::new();
         for (started_at, ledger) in ledgers {
             let offset = self.millis(*started_at);
             let times = self.times.entry(ledger.service.clone()).or_default();
-            // Which of the runs was the first doesn't matter: they are close together, and their count is the same.
+            // Ledgers are added one after another, so the run counted as the first is not always the
+            // earliest. That does not matter: the runs of a request are close together, and the number of
+            // retries is the same.
             let repeated = ledger.entries.iter().filter(|entry| !ran.insert(&entry.path));
             times.repeats.extend(repeated.map(|entry| offset + entry.started_millis));
         }
     }
 
-    /// The windows in which a service received more repeats than are allowed, for people.
-    pub fn overspent(&self) -> Vec<String> {
+    /// Describes, for each service that received more retries than allowed, its worst window.
+    pub fn violations(&self) -> Vec<String> {
         let of_service = |(service, times): (&ServiceName, &ServiceTimes)| {
             let overspent = ALLOWANCE.overspent(times);
             let worst = overspent.into_iter().max_by_key(|window| window.repeats)?;
             let (repeats, requests) = (worst.repeats, worst.requests);
-            Some(format!("{service}: {repeats} repeats in 10 s for {requests} requests"))
+            Some(format!("{service}: {repeats} retries in 10 s for {requests} requests"))
         };
         self.times.iter().filter_map(of_service).collect()
     }
 
-    /// Runs beyond the first of each request.
+    /// Number of runs beyond the first of each request.
     pub fn repeats(&self) -> usize {
         self.times.values().map(|times| times.repeats.len()).sum()
     }
 
     fn millis(&self, at: Instant) -> u64 {
-        u64::try_from(at.saturating_duration_since(self.began).as_millis()).unwrap_or(u64::MAX)
+        u64::try_from(at.saturating_duration_since(self.epoch).as_millis()).unwrap_or(u64::MAX)
     }
 }
--- a/xtask/src/soak/mesh.rs
+++ b/xtask/src/soak/mesh.rs
@@ -1,4 +1,4 @@
-//! The processes of a soak, each behind proxies of its own.
+//! Starts the processes of a soak, each behind its own proxies, and injects faults into them.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,34 +8,35 @@
 use umberpond_standins::backend;
 use umberpond_standins::platform::FaultChange;
 
-use super::proxy::{FaultProxy, Interference};
+use super::proxy::{FaultProxy, Impairment};
 use super::schedule::{Fault, FaultKind};
 use crate::demo::layout::{BACK_ENDS, EDGE, Placement, SECOND_EDGE};
 use crate::demo::node::NodeProcess;
 use crate::demo::programs::Programs;
-use crate::demo::settings::{AdvertiseTable, Surroundings};
+use crate::demo::settings::{AdvertiseTable, NodeEnvironment};
 use crate::demo::standins::Standin;
 use crate::error::XtaskError;
 use crate::supervise::ScratchDirectory;
 
-/// Nodes with a back end if nothing else is said: archive twice, solver once, billing where it may be served and where it may not.
+/// Default number of nodes with a back end: two of archive, one of solver, and billing both in allowed zones
+/// and in one that is not.
 pub const DEFAULT_NODES: usize = 7;
-/// Most nodes with a back end.
-pub const MOST_NODES: usize = BACK_ENDS.len();
-/// Longest time of a planned stop, above the grace in the settings.
+/// Maximum number of nodes with a back end.
+pub const MAX_NODES: usize = BACK_ENDS.len();
+/// Timeout of a graceful stop, longer than the grace period in the settings.
 const STOP_LIMIT: Duration = Duration::from_secs(12);
-/// Time added by a delay.
+/// Delay that [`FaultKind::Delay`] adds.
 const DELAY: Duration = Duration::from_millis(150);
-/// Milliseconds that a slow store adds.
+/// Delay that a slow store adds, in milliseconds.
 const STORE_DELAY_MILLIS: u64 = 700;
-/// Answers that the store loses in one fault.
-const LOST_ANSWERS: u64 = 3;
-/// Bytes after which a back end's answers break off.
+/// Number of responses that the store loses in one fault.
+const LOST_RESPONSES: u64 = 3;
+/// Number of bytes after which a back end truncates its responses.
 const CUT_AFTER_BYTES: usize = 300;
-/// Time between two looks at a condition.
+/// Interval between polls of the nodes' versions.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A node, its back end, and the proxies before its listeners and before the store.
+/// A node, its back end, and the proxies in front of its listeners and in front of the store.
 #[derive(Debug)]
 pub struct SoakNode {
     placement: Placement,
@@ -45,7 +46,7 @@
     control: FaultProxy,
     store: FaultProxy,
     process: Option<NodeProcess>,
-    lives: u32,
+    process_count: u32,
     logs: Vec<PathBuf>,
 }
 
@@ -61,35 +62,38 @@
         } else {
             Some(Standin::back_end(programs, &placement, scratch).await?)
         };
-        let before_store = FaultProxy::start().await?;
-        before_store.set_target(Some(store.address));
+        let store_proxy = FaultProxy::start().await?;
+        store_proxy.set_target(Some(store.address));
         Ok(Self {
             placement,
             back_end,
             outbound: FaultProxy::start().await?,
             inbound: FaultProxy::start().await?,
             control: FaultProxy::start().await?,
-            store: before_store,
+            store: store_proxy,
             process: None,
-            lives: 0,
+            process_count: 0,
             logs: Vec::new(),
         })
     }
 
-    /// Starts a process, unless one runs.
+    /// Starts the node's process, unless one is running.
     async fn start(&mut self, programs: &Programs, scratch: &ScratchDirectory) -> Result<(), XtaskError> {
         if self.process.is_some() {
             return Ok(());
         }
-        let surroundings = Surroundings {
-            store: self.store.front,
+        let environment = NodeEnvironment {
+            store: self.store.listen_address,
             back_end: self.back_end.as_ref().map(|back_end| back_end.address),
-            advertise: Some(AdvertiseTable { inbound: self.inbound.front, control: self.control.front }),
-            life: self.lives,
+            advertise: Some(AdvertiseTable {
+                inbound: self.inbound.listen_address,
+                control: self.control.listen_address,
+            }),
+            restarts: self.process_count,
             seal_key_file: None,
         };
-        let node = NodeProcess::start(&programs.umberpond, self.placement, surroundings, scratch).await?;
-        self.lives += 1;
+        let node = NodeProcess::start(&programs.umberpond, self.placement, environment, scratch).await?;
+        self.process_count += 1;
         self.outbound.set_target(Some(node.addresses.outbound));
         self.inbound.set_target(Some(node.addresses.inbound));
         self.control.set_target(Some(node.addresses.control));
@@ -98,8 +102,8 @@
         Ok(())
     }
 
-    /// Takes the running process out; nothing reaches it through the proxies any more.
-    fn take(&mut self) -> Option<NodeProcess> {
+    /// Removes the running process and closes the proxies in front of its listeners.
+    fn take_process(&mut self) -> Option<NodeProcess> {
         let process = self.process.take()?;
         self.close_proxies();
         Some(process)
@@ -118,23 +122,23 @@
         }
     }
 
-    fn interfere(&self, interference: Interference) {
-        self.inbound.interfere(interference);
-        self.control.interfere(interference);
+    fn set_impairment(&self, impairment: Impairment) {
+        self.inbound.set_impairment(impairment);
+        self.control.set_impairment(impairment);
     }
 
-    async fn begin(&mut self, kind: FaultKind) -> Result<(), XtaskError> {
+    async fn start_fault(&mut self, kind: FaultKind) -> Result<(), XtaskError> {
         match kind {
             FaultKind::Kill => {
-                if let Some(mut node) = self.take() {
+                if let Some(mut node) = self.take_process() {
                     node.process.kill()?;
-                    node.process.wait_for_end(STOP_LIMIT).await?;
+                    node.process.wait_for_exit(STOP_LIMIT).await?;
                 }
             }
             FaultKind::PlannedStop => {
                 if let Some(mut node) = self.process.take() {
                     node.process.terminate()?;
-                    node.process.wait_for_end(STOP_LIMIT).await?;
+                    node.process.wait_for_exit(STOP_LIMIT).await?;
                     self.close_proxies();
                 }
             }
@@ -143,26 +147,26 @@
                     node.process.pause()?;
                 }
             }
-            FaultKind::Silence => self.interfere(Interference {
+            FaultKind::Silence => self.set_impairment(Impairment {
                 blocks_requests: true,
-                blocks_answers: true,
-                ..Interference::default()
+                blocks_responses: true,
+                ..Impairment::default()
             }),
             FaultKind::CutTowards => {
-                self.interfere(Interference { blocks_requests: true, ..Interference::default() })
+                self.set_impairment(Impairment { blocks_requests: true, ..Impairment::default() })
             }
             FaultKind::CutBack => {
-                self.interfere(Interference { blocks_answers: true, ..Interference::default() })
+                self.set_impairment(Impairment { blocks_responses: true, ..Impairment::default() })
             }
-            FaultKind::Delay => self.interfere(Interference { delay: DELAY, ..Interference::default() }),
+            FaultKind::Delay => self.set_impairment(Impairment { delay: DELAY, ..Impairment::default() }),
             FaultKind::Reset => {
                 self.inbound.reset_all();
                 self.control.reset_all();
             }
-            FaultKind::StoreCut => self.store.interfere(Interference {
+            FaultKind::StoreCut => self.store.set_impairment(Impairment {
                 blocks_requests: true,
-                blocks_answers: true,
-                ..Interference::default()
+                blocks_responses: true,
+                ..Impairment::default()
             }),
             FaultKind::StoreReset => self.store.reset_all(),
             FaultKind::Reload => {
@@ -184,7 +188,7 @@
         Ok(())
     }
 
-    async fn end(
+    async fn end_fault(
         &mut self,
         kind: FaultKind,
         programs: &Programs,
@@ -198,9 +202,9 @@
                 }
             }
             FaultKind::Silence | FaultKind::CutTowards | FaultKind::CutBack | FaultKind::Delay => {
-                self.interfere(Interference::default())
+                self.set_impairment(Impairment::default())
             }
-            FaultKind::StoreCut => self.store.interfere(Interference::default()),
+            FaultKind::StoreCut => self.store.set_impairment(Impairment::default()),
             FaultKind::BackEndRefuses => {
                 let change = backend::FaultChange { refuse: Some(false), ..backend::FaultChange::default() };
                 self.change_back_end(change).await?;
@@ -222,9 +226,11 @@
     programs: &'a Programs,
     scratch: &'a ScratchDirectory,
     store: Standin,
-    /// The nodes that faults hit, the second one where callers enter last; each has a lock of its own, so that a long fault holds up no other.
+    /// The nodes that faults are injected into; the second edge node is the last. Each has its own lock, so
+    /// that a long fault on one node does not delay faults on others.
     nodes: Vec<tokio::sync::Mutex<SoakNode>>,
-    /// The node where callers and operators enter; nothing is done to it but through the others.
+    /// The edge node, to which callers and operators send their requests. No fault is injected into it
+    /// directly.
     edge: SoakNode,
 }
 
@@ -232,7 +238,7 @@
     /// Starts every process.
     ///
     /// # Errors
-    /// Fails when one does not get ready.
+    /// Fails when a process does not become ready in time.
     pub async fn start(
         programs: &'a Programs,
         back_ends: usize,
@@ -250,40 +256,41 @@
         Ok(Self { programs, scratch, store, nodes, edge })
     }
 
-    /// The node where callers and operators enter.
+    /// The edge node, to which callers and operators send their requests.
     ///
     /// # Errors
-    /// Never, as its process is not ended before the soak is.
+    /// Never: its process runs until the end of the soak.
     pub fn edge(&self) -> Result<&NodeProcess, XtaskError> {
-        self.edge.process.as_ref().ok_or(XtaskError::TimedOut { condition: "the edge runs" })
+        self.edge.process.as_ref().ok_or(XtaskError::TimedOut { condition: "the edge node runs" })
     }
 
-    /// Plays one fault from its begin to its end. Faults of one node come one after another.
+    /// Waits until a fault is due, starts it and ends it again. Faults of the same node run one after
+    /// another.
     ///
     /// # Errors
-    /// Fails when a process can't be signalled, started or ended.
-    pub async fn play(&self, fault: Fault) -> Result<(), XtaskError> {
+    /// Fails when a process can't be signalled, started or stopped, or a stand-in does not respond.
+    pub async fn inject(&self, fault: Fault) -> Result<(), XtaskError> {
         sleep(Duration::from_millis(fault.at_millis)).await;
         let mut node = self.nodes[fault.node].lock().await;
-        node.begin(fault.kind).await?;
+        node.start_fault(fault.kind).await?;
         self.change_store(fault.kind, true).await?;
         sleep(Duration::from_millis(fault.millis)).await;
         self.change_store(fault.kind, false).await?;
-        node.end(fault.kind, self.programs, self.scratch).await
+        node.end_fault(fault.kind, self.programs, self.scratch).await
     }
 
-    async fn change_store(&self, kind: FaultKind, is_begin: bool) -> Result<(), XtaskError> {
+    async fn change_store(&self, kind: FaultKind, is_start: bool) -> Result<(), XtaskError> {
         let change = match kind {
-            FaultKind::StoreDown => FaultChange { down: Some(is_begin), ..FaultChange::default() },
+            FaultKind::StoreDown => FaultChange { down: Some(is_start), ..FaultChange::default() },
             FaultKind::StoreOverloaded => {
-                FaultChange { overloaded: Some(is_begin), ..FaultChange::default() }
+                FaultChange { overloaded: Some(is_start), ..FaultChange::default() }
             }
             FaultKind::StoreSlow => {
-                let delay_millis = Some(if is_begin { STORE_DELAY_MILLIS } else { 0 });
+                let delay_millis = Some(if is_start { STORE_DELAY_MILLIS } else { 0 });
                 FaultChange { delay_millis, ..FaultChange::default() }
             }
             FaultKind::StoreLosesAnswers => {
-                let lose_answers = Some(if is_begin { LOST_ANSWERS } else { 0 });
+                let lose_answers = Some(if is_start { LOST_RESPONSES } else { 0 });
                 FaultChange { lose_answers, ..FaultChange::default() }
             }
             _ => return Ok(()),
@@ -291,7 +298,8 @@
         self.store.change_faults(&change).await
     }
 
-    /// Waits until every node has the same version in force, at most for `limit`; tells those that lack it.
+    /// Waits up to `limit` until every node has the same version in force, and returns the nodes that lack
+    /// the newest.
     pub async fn wait_until_converged(&self, limit: Duration) -> Vec<String> {
         let deadline = Instant::now() + limit;
         loop {
@@ -319,19 +327,21 @@
         versions
     }
 
-    /// Where callers enter at the node whose process the faults end and start anew; the address stays.
+    /// Address of the second edge node, whose process faults stop and restart. It is the proxy's address, so
+    /// it stays the same across restarts.
     ///
     /// # Errors
-    /// Never, as that node is there from the start.
+    /// Never: that node exists from the start.
     pub async fn second_edge(&self) -> Result<SocketAddr, XtaskError> {
-        let node = self.nodes.last().ok_or(XtaskError::TimedOut { condition: "the second edge is there" })?;
-        Ok(node.lock().await.outbound.front)
+        let node =
+            self.nodes.last().ok_or(XtaskError::TimedOut { condition: "the second edge node exists" })?;
+        Ok(node.lock().await.outbound.listen_address)
     }
 
-    /// What all back ends ran, and when each of them had started.
+    /// Ledgers of all back ends, with the time at which each back end started.
     ///
     /// # Errors
-    /// Fails when one does not answer.
+    /// Fails when a back end does not respond.
     pub async fn ledgers(&self) -> Result<Vec<(Instant, backend::Ledger)>, XtaskError> {
         let mut ledgers = Vec::new();
         for node in &self.nodes {
@@ -342,7 +352,7 @@
         Ok(ledgers)
     }
 
-    /// Log files of all processes that ran.
+    /// Log files of all node processes, including earlier ones.
     pub async fn logs(&self) -> Vec<PathBuf> {
         let mut logs = self.edge.logs.clone();
         for node in &self.nodes {
--- a/xtask/src/soak/mod.rs
+++ b/xtask/src/soak/mod.rs
@@ -1,5 +1,6 @@
-//! `cargo xtask soak`: real processes on loopback under random faults from outside, checked by what callers and back
-//! ends see. A seed names the faults; time is real, so a seed does not repeat a run exactly.
+//! `cargo xtask soak`: runs real processes on loopback, injects random faults from outside, and checks the
+//! records of callers and back ends. The seed determines the faults; the runs use real time, so a seed does
+//! not reproduce a run exactly.
 
 mod budget;
 mod mesh;
@@ -31,25 +32,25 @@
 use crate::node_log;
 use crate::supervise::{ChildProcess, ScratchDirectory};
 use budget::RetryRecord;
-use mesh::{DEFAULT_NODES, MOST_NODES, SoakMesh};
+use mesh::{DEFAULT_NODES, MAX_NODES, SoakMesh};
 use schedule::FaultKind;
 
-/// Length of the faults if none is given, in seconds.
+/// Default duration of the fault phase, in seconds.
 const DEFAULT_SECONDS: u64 = 60;
-/// Longest time after the last fault until everything must be as before it.
+/// Time after the last fault within which the mesh must have recovered.
 const RECOVERY_LIMIT: Duration = Duration::from_secs(10);
-/// Length of the load after that, in which every call must be answered, in seconds.
-const CALM_SECONDS: u64 = 5;
-/// Time between two changes of the configuration.
+/// Duration of the load after the recovery, in which every call must be answered, in seconds.
+const FINAL_LOAD_SECONDS: u64 = 5;
+/// Pause between two submissions of a configuration change.
 const CHANGE_INTERVAL: Duration = Duration::from_secs(3);
-/// Longest time of one submission.
+/// Timeout of one submission.
 const SUBMISSION_LIMIT: Duration = Duration::from_secs(20);
-/// Longest time until the first version is in force.
+/// Timeout for the first version to be in force on all nodes.
 const FIRST_LIMIT: Duration = Duration::from_secs(20);
-/// Number of the event that tells of a version in force.
+/// Number of the `version-activated` event in the daemon's event catalogue.
 const ACTIVATED_EVENT: u64 = 2003;
 
-/// What a soak found.
+/// The results of a soak.
 #[derive(Debug, Default, Serialize)]
 struct SoakReport {
     seed: u64,
@@ -60,46 +61,46 @@
     rejected: u64,
     unknown: u64,
     truncated: u64,
-    /// Runs beyond the first of each request.
+    /// Number of runs beyond the first of each request.
     repeats: usize,
     processes: usize,
-    /// Promises that were broken; empty if all held.
+    /// Descriptions of the broken invariants; empty if all held.
     broken: Vec<String>,
 }
 
-/// Runs one soak; fails with an exit code if a promise was broken.
+/// Runs one soak and prints its report; the exit code reports a failure if an invariant was broken.
 ///
 /// # Errors
-/// Fails when a process can't be started or controlled.
+/// Fails when a process can't be started, signalled or queried.
 pub async fn run(options: &Soak) -> Result<ExitCode, XtaskError> {
     let programs = Programs::build().await?;
     let mut scratch = ScratchDirectory::create("soak")?;
     let seed = options.seed.unwrap_or_else(rand::random);
     let length = Duration::from_secs(options.seconds.unwrap_or(DEFAULT_SECONDS));
-    let nodes = options.nodes.unwrap_or(DEFAULT_NODES).clamp(DEFAULT_NODES, MOST_NODES);
+    let nodes = options.nodes.unwrap_or(DEFAULT_NODES).clamp(DEFAULT_NODES, MAX_NODES);
     eprintln!("soak: seed {seed}, {nodes} nodes, {} s of faults", length.as_secs());
     let result = tokio::select! {
         biased;
         interrupted = wait_for_interrupt() => Err(interrupted),
-        result = play(&programs, &scratch, nodes, seed, length) => result,
+        result = run_phases(&programs, &scratch, nodes, seed, length) => result,
     };
-    let is_whole = result.as_ref().is_ok_and(|report| report.broken.is_empty());
-    if !is_whole || options.keep_logs {
+    let is_success = result.as_ref().is_ok_and(|report| report.broken.is_empty());
+    if !is_success || options.keep_logs {
         scratch.keep();
         eprintln!("soak: settings and logs are kept in {}", scratch.path().display());
     }
     println!("{}", serde_json::to_string_pretty(&result?)?);
-    Ok(if is_whole { ExitCode::SUCCESS } else { ExitCode::FAILURE })
+    Ok(if is_success { ExitCode::SUCCESS } else { ExitCode::FAILURE })
 }
 
-async fn play(
+async fn run_phases(
     programs: &Programs,
     scratch: &ScratchDirectory,
     nodes: usize,
     seed: u64,
     length: Duration,
 ) -> Result<SoakReport, XtaskError> {
-    let began = Instant::now();
+    let epoch = Instant::now();
     let mesh = SoakMesh::start(programs, nodes, scratch).await?;
     let mut report = SoakReport { seed, ..SoakReport::default() };
     submit(programs, &mesh, 0, scratch).await?;
@@ -107,39 +108,39 @@
     if !behind.is_empty() {
         return Err(XtaskError::TimedOut { condition: "the first version is in force everywhere" });
     }
-    let mut faults = schedule::draw(&mut ChaCha8Rng::seed_from_u64(seed), length, nodes);
-    // The series hit the second edge too.
-    faults.extend(schedule::draw_series(&mut ChaCha8Rng::seed_from_u64(!seed), length, nodes + 1));
+    let mut faults = schedule::random_faults(&mut ChaCha8Rng::seed_from_u64(seed), length, nodes);
+    // Series also hit the second edge node.
+    faults.extend(schedule::random_series(&mut ChaCha8Rng::seed_from_u64(!seed), length, nodes + 1));
     for fault in &faults {
         *report.faults.entry(FaultKind::to_string(&fault.kind)).or_default() += 1;
     }
-    let entrances = [
+    let entry_points = [
         ("edge", Targets::edge(mesh.edge()?.addresses.outbound)),
         ("second-edge", Targets::edge(mesh.second_edge().await?)),
     ];
-    let callers = start_callers(programs, &entrances, "soak", length.as_secs(), scratch).await?;
-    let playing = try_join_all(faults.into_iter().map(|fault| mesh.play(fault)));
-    let (played, versions) = tokio::join!(playing, submit_regularly(programs, &mesh, length, scratch));
-    played?;
+    let callers = start_callers(programs, &entry_points, "soak", length.as_secs(), scratch).await?;
+    let injections = try_join_all(faults.into_iter().map(|fault| mesh.inject(fault)));
+    let (injected, versions) = tokio::join!(injections, submit_regularly(programs, &mesh, length, scratch));
+    injected?;
     report.versions = versions;
-    let mut record = RetryRecord::new(began);
+    let mut record = RetryRecord::new(epoch);
     let during = finish_callers(callers, &mut record).await?;
     let faults_over = Instant::now();
     let behind = mesh.wait_until_converged(RECOVERY_LIMIT).await;
-    report
-        .broken
-        .extend(behind.into_iter().map(|node| format!("{node} lacks the newest version after 10 s")));
+    report.broken.extend(
+        behind.into_iter().map(|node| format!("{node} lacks the newest version 10 s after the last fault")),
+    );
     sleep(RECOVERY_LIMIT.saturating_sub(faults_over.elapsed())).await;
 
-    let callers = start_callers(programs, &entrances, "calm", CALM_SECONDS, scratch).await?;
-    let calm = finish_callers(callers, &mut record).await?;
+    let callers = start_callers(programs, &entry_points, "calm", FINAL_LOAD_SECONDS, scratch).await?;
+    let after = finish_callers(callers, &mut record).await?;
     let timed_ledgers = mesh.ledgers().await?;
     record.add_runs(&timed_ledgers);
     report.repeats = record.repeats();
-    report.broken.extend(record.overspent());
+    report.broken.extend(record.violations());
     let ledgers: Vec<Ledger> = timed_ledgers.into_iter().map(|(_started_at, ledger)| ledger).collect();
     let allowed = allowed_localities()?;
-    for (phase, answers) in [("under faults", &during), ("after them", &calm)] {
+    for (phase, answers) in [("under faults", &during), ("after the faults", &after)] {
         let compared = reconcile(answers, &ledgers, &allowed);
         let findings = compared.findings.iter();
         report.broken.extend(
@@ -153,35 +154,36 @@
         report.unknown += compared.unknown;
         report.truncated += compared.truncated;
     }
-    let failed = calm.iter().filter(|answer| answer.outcome != Outcome::Answered);
+    let failed = after.iter().filter(|answer| answer.outcome != Outcome::Answered);
     report
         .broken
         .extend(failed.map(|answer| format!("after the faults {}: {}", answer.outcome, answer.path)));
     let logs = mesh.logs().await;
     report.processes = logs.len();
     for log in logs {
-        report.broken.extend(steps_back(&log)?);
+        report.broken.extend(version_regressions(&log)?);
     }
     Ok(report)
 }
 
-/// Starts one caller for each entrance. Callers keep their connections from call to call, until the process behind them is gone.
+/// Starts one caller for each edge node. Callers keep their connections open between calls until the process
+/// behind the connection is gone.
 async fn start_callers(
     programs: &Programs,
-    entrances: &[(&str, Targets)],
+    entry_points: &[(&str, Targets)],
     phase: &str,
     seconds: u64,
     scratch: &ScratchDirectory,
 ) -> Result<Vec<RunningCaller>, XtaskError> {
     let mut callers = Vec::new();
-    for (entrance, targets) in entrances {
-        let plan = load::mixed_calls(&format!("{phase}-{entrance}"), targets, seconds)?;
+    for (entry_point, targets) in entry_points {
+        let plan = load::mixed_calls(&format!("{phase}-{entry_point}"), targets, seconds)?;
         callers.push(RunningCaller::start(programs, &plan, scratch).await?);
     }
     Ok(callers)
 }
 
-/// Waits for all callers; tells what each call got.
+/// Waits for all callers and returns the outcomes of their calls.
 async fn finish_callers(
     callers: Vec<RunningCaller>,
     record: &mut RetryRecord,
@@ -196,7 +198,8 @@
     Ok(answers)
 }
 
-/// Submits changes until `length` has passed; tells how many were accepted. Under faults a submission may fail.
+/// Submits changes until `length` has passed and returns how many were accepted. A submission may fail under
+/// faults.
 async fn submit_regularly(
     programs: &Programs,
     mesh: &SoakMesh<'_>,
@@ -220,11 +223,11 @@
     number: u64,
     scratch: &ScratchDirectory,
 ) -> Result<(), XtaskError> {
-    let folder = numbered_version(number, scratch)?;
+    let directory = numbered_version(number, scratch)?;
     let arguments = [
         "apply".to_owned(),
         BUNDLE.to_owned(),
-        folder.display().to_string(),
+        directory.display().to_string(),
         "--node".to_owned(),
         mesh.edge()?.addresses.admin.to_string(),
     ];
@@ -233,12 +236,12 @@
     command.wait_for_success(SUBMISSION_LIMIT).await
 }
 
-/// Versions that came in force in one process after a higher one, by its log.
-fn steps_back(log: &Path) -> Result<Vec<String>, XtaskError> {
+/// Reads a process's log and describes each version that was activated after an equal or higher one.
+fn version_regressions(log: &Path) -> Result<Vec<String>, XtaskError> {
     let text = std::fs::read_to_string(log).map_err(XtaskError::file(log))?;
     let activated = text.lines().filter_map(node_log::parse).filter(|line| line.event == ACTIVATED_EVENT);
     let versions: Vec<u64> = activated.map(|line| line.version).collect();
-    let back = versions.windows(2).filter(|pair| pair[1] <= pair[0]);
+    let regressions = versions.windows(2).filter(|pair| pair[1] <= pair[0]);
     let name = log.file_stem().unwrap_or_default().to_string_lossy();
-    Ok(back.map(|pair| format!("{name} went from version {} to {}", pair[0], pair[1])).collect())
+    Ok(regressions.map(|pair| format!("{name} went from version {} to {}", pair[0], pair[1])).collect())
 }
--- a/xtask/src/soak/proxy.rs
+++ b/xtask/src/soak/proxy.rs
@@ -1,4 +1,5 @@
-//! A proxy on loopback that stands before one listener and does to its traffic what a bad network does.
+//! A loopback proxy in front of one listener, which delays, blocks or resets its traffic to simulate
+//! network faults.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -15,95 +16,95 @@
 use crate::demo::layout::ANY_PORT;
 use crate::error::XtaskError;
 
-/// Tries to find a port that is free for streams and datagrams alike.
-const PORT_TRIES: u32 = 20;
-/// Bytes read at once.
+/// Attempts to find a port that is free for both TCP and UDP.
+const PORT_ATTEMPTS: u32 = 20;
+/// Size of the read buffer, in bytes.
 const CHUNK_BYTES: usize = 16 * 1024;
 
-/// What the proxy does to traffic.
+/// Network impairment that the proxy applies to traffic.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Interference {
-    /// Time added to everything.
+pub struct Impairment {
+    /// Delay added to each chunk and datagram, in both directions.
     pub delay: Duration,
-    /// Nothing passes towards the listener.
+    /// Blocks traffic to the listener.
     pub blocks_requests: bool,
-    /// Nothing passes from the listener.
-    pub blocks_answers: bool,
+    /// Blocks traffic from the listener.
+    pub blocks_responses: bool,
 }
 
-/// What the proxy's tasks share.
+/// State shared by the proxy's tasks.
 #[derive(Debug)]
 struct Shared {
-    /// The real listener; absent while its process does not run.
+    /// Address of the real listener; `None` while its process does not run.
     target: watch::Sender<Option<SocketAddr>>,
-    interference: watch::Sender<Interference>,
-    /// Counts the resets of all connections.
+    impairment: watch::Sender<Impairment>,
+    /// Number of calls of [`FaultProxy::reset_all`]; connections watch it for changes.
     resets: watch::Sender<u64>,
 }
 
-/// The way of the bytes.
+/// Direction of traffic.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Way {
+enum Direction {
     ToListener,
     FromListener,
 }
 
 impl Shared {
-    /// Waits as the interference asks, until a chunk may pass.
-    async fn pass(&self, way: Way) {
-        let delay = self.interference.borrow().delay;
+    /// Waits for the delay, and then until traffic in this direction is not blocked.
+    async fn wait_to_forward(&self, direction: Direction) {
+        let delay = self.impairment.borrow().delay;
         if !delay.is_zero() {
             sleep(delay).await;
         }
-        let mut interference = self.interference.subscribe();
-        // The sender lives in `self`, so waiting can't fail.
-        let _ = interference.wait_for(|now| !blocks(*now, way)).await;
+        let mut impairment = self.impairment.subscribe();
+        // `wait_for` fails only when the sender is dropped, and `self` owns it.
+        let _ = impairment.wait_for(|now| !blocks(*now, direction)).await;
     }
 }
 
-const fn blocks(interference: Interference, way: Way) -> bool {
-    match way {
-        Way::ToListener => interference.blocks_requests,
-        Way::FromListener => interference.blocks_answers,
+const fn blocks(impairment: Impairment, direction: Direction) -> bool {
+    match direction {
+        Direction::ToListener => impairment.blocks_requests,
+        Direction::FromListener => impairment.blocks_responses,
     }
 }
 
-/// A proxy before one listener. Dropping it cuts everything.
+/// A proxy in front of one listener. Dropping it aborts its tasks and closes its connections.
 #[derive(Debug)]
 pub struct FaultProxy {
-    /// Where the proxy listens.
-    pub front: SocketAddr,
+    /// Address that the proxy listens on.
+    pub listen_address: SocketAddr,
     shared: Arc<Shared>,
     _tasks: JoinSet<()>,
 }
 
 impl FaultProxy {
-    /// Starts a proxy for streams and datagrams.
+    /// Starts a proxy for TCP connections and UDP datagrams.
     ///
     /// # Errors
-    /// Fails when no port can be listened at.
+    /// Fails when no port can be bound.
     pub async fn start() -> Result<Self, XtaskError> {
         let (listener, socket) = bind().await.map_err(XtaskError::file("loopback"))?;
-        let front = listener.local_addr().map_err(XtaskError::file("loopback"))?;
+        let listen_address = listener.local_addr().map_err(XtaskError::file("loopback"))?;
         let shared = Arc::new(Shared {
             target: watch::Sender::new(None),
-            interference: watch::Sender::new(Interference::default()),
+            impairment: watch::Sender::new(Impairment::default()),
             resets: watch::Sender::new(0),
         });
         let mut tasks = JoinSet::new();
         tasks.spawn(serve_streams(listener, Arc::clone(&shared)));
         tasks.spawn(serve_datagrams(Arc::new(socket), Arc::clone(&shared)));
-        Ok(Self { front, shared, _tasks: tasks })
+        Ok(Self { listen_address, shared, _tasks: tasks })
     }
 
-    /// Sets the real listener.
+    /// Sets the address of the real listener. Open connections keep the previous one.
     pub fn set_target(&self, target: Option<SocketAddr>) {
         self.shared.target.send_replace(target);
     }
 
-    /// Sets what is done to traffic from now on.
-    pub fn interfere(&self, interference: Interference) {
-        self.shared.interference.send_replace(interference);
+    /// Sets the impairment of all traffic from now on.
+    pub fn set_impairment(&self, impairment: Impairment) {
+        self.shared.impairment.send_replace(impairment);
     }
 
     /// Resets every open connection.
@@ -112,10 +113,10 @@
     }
 }
 
-/// A listener and a socket for datagrams at the same port.
+/// Binds a TCP listener and a UDP socket to the same port.
 async fn bind() -> std::io::Result<(TcpListener, UdpSocket)> {
     let mut last = None;
-    for _ in 0..PORT_TRIES {
+    for _ in 0..PORT_ATTEMPTS {
         let listener = TcpListener::bind(ANY_PORT).await?;
         match UdpSocket::bind(listener.local_addr()?).await {
             Ok(socket) => return Ok((listener, socket)),
@@ -132,31 +133,31 @@
             biased;
             Some(_ended) = connections.join_next() => {}
             accepted = listener.accept() => {
-                if let Ok((near, _peer)) = accepted {
-                    connections.spawn(serve_stream(near, Arc::clone(&shared)));
+                if let Ok((client, _peer)) = accepted {
+                    connections.spawn(serve_stream(client, Arc::clone(&shared)));
                 }
             }
         }
     }
 }
 
-async fn serve_stream(near: TcpStream, shared: Arc<Shared>) {
+async fn serve_stream(client: TcpStream, shared: Arc<Shared>) {
     let mut resets = shared.resets.subscribe();
     resets.mark_unchanged();
     let target = *shared.target.borrow();
-    shared.pass(Way::ToListener).await;
-    let far = match target {
+    shared.wait_to_forward(Direction::ToListener).await;
+    let server = match target {
         Some(target) => TcpStream::connect(target).await.ok(),
         None => None,
     };
-    let Some(far) = far else { return reset(&near) };
-    let _ = (near.set_nodelay(true), far.set_nodelay(true));
-    let (near_reader, near_writer) = near.into_split();
-    let (far_reader, far_writer) = far.into_split();
+    let Some(server) = server else { return reset_on_close(&client) };
+    let _ = (client.set_nodelay(true), server.set_nodelay(true));
+    let (client_reader, client_writer) = client.into_split();
+    let (server_reader, server_writer) = server.into_split();
     let both = async {
         tokio::join!(
-            pump(near_reader, far_writer, &shared, Way::ToListener),
-            pump(far_reader, near_writer, &shared, Way::FromListener),
+            forward_stream(client_reader, server_writer, &shared, Direction::ToListener),
+            forward_stream(server_reader, client_writer, &shared, Direction::FromListener),
         )
     };
     tokio::select! {
@@ -166,69 +167,80 @@
     }
 }
 
-/// Passes bytes on until one side ends; the end is passed on too.
-async fn pump(mut reader: OwnedReadHalf, mut writer: OwnedWriteHalf, shared: &Shared, way: Way) {
+/// Forwards bytes until the reader ends or either side fails, and passes on the end of the stream or resets
+/// the connection.
+async fn forward_stream(
+    mut reader: OwnedReadHalf,
+    mut writer: OwnedWriteHalf,
+    shared: &Shared,
+    direction: Direction,
+) {
     let mut buffer = vec![0; CHUNK_BYTES];
     loop {
         let read = reader.read(&mut buffer).await;
-        shared.pass(way).await;
+        shared.wait_to_forward(direction).await;
         match read {
             Ok(0) => {
                 let _ = writer.shutdown().await;
                 return;
             }
             Ok(count) if writer.write_all(&buffer[..count]).await.is_ok() => {}
-            Ok(_) | Err(_) => return reset(writer.as_ref()),
+            Ok(_) | Err(_) => return reset_on_close(writer.as_ref()),
         }
     }
 }
 
-/// Lets the connection end by a reset when it is dropped.
-fn reset(stream: &TcpStream) {
+/// Makes the connection end with a TCP reset when it is dropped.
+fn reset_on_close(stream: &TcpStream) {
     let _ = stream.set_zero_linger();
 }
 
-/// Sockets towards the listener by the sender whose datagrams they carry.
-type Carriers = Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>;
+/// Sockets to the real listener, by the sender whose datagrams they forward.
+type UpstreamSockets = Mutex<HashMap<SocketAddr, Arc<UdpSocket>>>;
 
-async fn serve_datagrams(front: Arc<UdpSocket>, shared: Arc<Shared>) {
-    let carriers: Arc<Carriers> = Arc::default();
-    let mut answers = JoinSet::new();
+async fn serve_datagrams(listen_socket: Arc<UdpSocket>, shared: Arc<Shared>) {
+    let upstream_sockets: Arc<UpstreamSockets> = Arc::default();
+    let mut response_tasks = JoinSet::new();
     let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let Ok((count, sender)) = front.recv_from(&mut buffer).await else { continue };
-        let interference = *shared.interference.borrow();
+        let Ok((count, sender)) = listen_socket.recv_from(&mut buffer).await else { continue };
+        let impairment = *shared.impairment.borrow();
         let Some(target) = *shared.target.borrow() else { continue };
-        if interference.blocks_requests {
+        if impairment.blocks_requests {
             continue;
         }
-        let known = carriers.lock().await.get(&sender).cloned();
-        let carrier = match known {
-            Some(carrier) => carrier,
+        let known = upstream_sockets.lock().await.get(&sender).cloned();
+        let upstream = match known {
+            Some(upstream) => upstream,
             None => {
-                let Ok(carrier) = UdpSocket::bind(ANY_PORT).await.map(Arc::new) else { continue };
-                carriers.lock().await.insert(sender, Arc::clone(&carrier));
-                let (front, shared) = (Arc::clone(&front), Arc::clone(&shared));
-                answers.spawn(carry_answers(Arc::clone(&carrier), front, sender, shared));
-                carrier
+                let Ok(upstream) = UdpSocket::bind(ANY_PORT).await.map(Arc::new) else { continue };
+                upstream_sockets.lock().await.insert(sender, Arc::clone(&upstream));
+                let (listen_socket, shared) = (Arc::clone(&listen_socket), Arc::clone(&shared));
+                response_tasks.spawn(forward_responses(Arc::clone(&upstream), listen_socket, sender, shared));
+                upstream
             }
         };
         let bytes = buffer[..count].to_vec();
         tokio::spawn(async move {
-            sleep(interference.delay).await;
-            let _ = carrier.send_to(&bytes, target).await;
+            sleep(impairment.delay).await;
+            let _ = upstream.send_to(&bytes, target).await;
         });
     }
 }
 
-async fn carry_answers(carrier: Arc<UdpSocket>, front: Arc<UdpSocket>, to: SocketAddr, shared: Arc<Shared>) {
+async fn forward_responses(
+    upstream: Arc<UdpSocket>,
+    listen_socket: Arc<UdpSocket>,
+    to: SocketAddr,
+    shared: Arc<Shared>,
+) {
     let mut buffer = vec![0; CHUNK_BYTES];
     loop {
-        let Ok((count, _from)) = carrier.recv_from(&mut buffer).await else { continue };
-        let interference = *shared.interference.borrow();
-        if !interference.blocks_answers {
-            sleep(interference.delay).await;
-            let _ = front.send_to(&buffer[..count], to).await;
+        let Ok((count, _from)) = upstream.recv_from(&mut buffer).await else { continue };
+        let impairment = *shared.impairment.borrow();
+        if !impairment.blocks_responses {
+            sleep(impairment.delay).await;
+            let _ = listen_socket.send_to(&buffer[..count], to).await;
         }
     }
 }
--- a/xtask/src/soak/schedule.rs
+++ b/xtask/src/soak/schedule.rs
@@ -1,4 +1,4 @@
-//! Which faults a soak plays, drawn from its seed.
+//! Generates the random faults of a soak.
 
 use std::fmt;
 use std::time::Duration;
@@ -6,62 +6,65 @@
 use rand::{Rng, RngExt};
 use serde::Serialize;
 
-/// Shortest and longest time of a fault, in milliseconds.
+/// Duration of a fault, in milliseconds.
 const FAULT_MILLIS: std::ops::Range<u64> = 400..4_000;
-/// Shortest and longest pause before the next fault, in milliseconds. Faults overlap.
+/// Time between the starts of two faults, in milliseconds. It may be shorter than a fault, so faults overlap.
 const PAUSE_MILLIS: std::ops::Range<u64> = 300..2_000;
 
-/// Shortest and longest time between two series, in milliseconds. Series overlap with one another and with single faults.
+/// Time between the starts of two series, in milliseconds. Series overlap with one another and with single
+/// faults.
 const SERIES_PAUSE_MILLIS: std::ops::Range<u64> = 500..3_000;
-/// Shortest and longest time between two faults of a series, in milliseconds.
+/// Time between the starts of two faults of a series, in milliseconds.
 const SERIES_GAP_MILLIS: std::ops::Range<u64> = 50..800;
-/// Shortest and longest time of a fault of a series, in milliseconds.
+/// Duration of a fault in a series, in milliseconds.
 const SERIES_FAULT_MILLIS: std::ops::Range<u64> = 200..1_500;
-/// Least and most nodes that a series hits; fewer than all, so that somebody serves.
+/// Number of nodes that a series hits. It is below the number of all nodes, so that some still serve
+/// requests.
 const SERIES_NODES: std::ops::Range<usize> = 2..5;
 
-/// What a fault does.
+/// Kind of a fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// The process of a node is killed, and started anew at the end.
+    /// Kills the process of a node, and starts a new one when the fault ends.
     Kill,
-    /// The process of a node is told to stop, and started anew once it has ended.
+    /// Stops the process of a node gracefully, and starts a new one when the fault ends.
     PlannedStop,
-    /// The process of a node is paused.
+    /// Suspends the process of a node.
     Pause,
-    /// Nothing passes to or from a node's listeners.
+    /// Blocks all traffic to and from a node's listeners.
     Silence,
-    /// Nothing passes to a node's listeners; its answers do.
+    /// Blocks traffic to a node's listeners, but not from them.
     CutTowards,
-    /// A node's listeners are reached; their answers are not heard.
+    /// Blocks traffic from a node's listeners, but not to them.
     CutBack,
-    /// Everything to and from a node's listeners is late.
+    /// Delays all traffic to and from a node's listeners.
     Delay,
-    /// All connections to a node's listeners are reset.
+    /// Resets all connections to a node's listeners for requests and control traffic of other nodes.
     Reset,
-    /// A node can't reach the store, while others do.
+    /// Blocks traffic between one node and the store.
     StoreCut,
-    /// A node's connections to the store are reset.
+    /// Resets one node's connections to the store.
     StoreReset,
-    /// The store answers nobody.
+    /// The store is down for all nodes.
     StoreDown,
-    /// The store refuses everybody as overloaded.
+    /// The store refuses all requests as overloaded.
     StoreOverloaded,
-    /// The store answers late.
+    /// The store delays its responses.
     StoreSlow,
-    /// Changes take effect in the store, and their answers are lost.
+    /// Changes take effect in the store, but the responses are lost.
     StoreLosesAnswers,
-    /// The process of a node is told that its settings have changed.
+    /// Sends SIGHUP to the process of a node, so that it reloads its settings.
     Reload,
-    /// The back end of a node turns all work away.
+    /// The back end of a node rejects all requests.
     BackEndRefuses,
-    /// The answers of a node's back end break off.
+    /// The back end of a node truncates its responses.
     BackEndCuts,
 }
 
 impl FaultKind {
-    /// The kinds that come one by one. New kinds come in series only, so that a seed plays the faults that it always did.
+    /// Kinds of single faults. Add new kinds to [`Self::IN_SERIES`] only, so that a seed keeps generating the
+    /// same single faults.
     const SINGLE: [Self; 14] = [
         Self::Kill,
         Self::PlannedStop,
@@ -79,7 +82,7 @@
         Self::StoreLosesAnswers,
     ];
 
-    /// The kinds that hit some nodes one after the other.
+    /// Kinds of faults that hit several nodes in succession.
     const IN_SERIES: [Self; 7] = [
         Self::PlannedStop,
         Self::Kill,
@@ -97,21 +100,21 @@
     }
 }
 
-/// One fault.
+/// A fault of one node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// Milliseconds from the begin of the load.
+    /// Start of the fault, in milliseconds from the start of the load.
     pub at_millis: u64,
-    /// How long it lasts, in milliseconds.
+    /// Duration, in milliseconds.
     pub millis: u64,
-    /// What it does.
+    /// Kind of the fault.
     pub kind: FaultKind,
-    /// Number of the node that it hits.
+    /// Index of the node that it hits.
     pub node: usize,
 }
 
-/// The faults of a soak of `length` on `nodes` nodes; all are over at its end.
-pub fn draw(random: &mut impl Rng, length: Duration, nodes: usize) -> Vec<Fault> {
+/// Generates the single faults of a soak of `length` on `nodes` nodes. All of them end within `length`.
+pub fn random_faults(random: &mut impl Rng, length: Duration, nodes: usize) -> Vec<Fault> {
     let length = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
     let mut faults = Vec::new();
     let mut at_millis = 0;
@@ -126,8 +129,8 @@
     }
 }
 
-/// The series of faults of a soak of `length` on `nodes` nodes; all are over at its end.
-pub fn draw_series(random: &mut impl Rng, length: Duration, nodes: usize) -> Vec<Fault> {
+/// Generates the series of faults of a soak of `length` on `nodes` nodes. All faults end within `length`.
+pub fn random_series(random: &mut impl Rng, length: Duration, nodes: usize) -> Vec<Fault> {
     let length = u64::try_from(length.as_millis()).unwrap_or(u64::MAX);
     let mut faults = Vec::new();
     let mut series_at = 0;
--- a/xtask/src/supervise/child.rs
+++ b/xtask/src/supervise/child.rs
@@ -1,4 +1,4 @@
-//! One child process.
+//! A supervised child process.
 
 use std::fs::File;
 use std::io::Write;
@@ -26,7 +26,7 @@
 }
 
 impl ChildProcess {
-    /// Starts `program`; everything it prints goes to `<name>.log` in `scratch`.
+    /// Starts `program` and copies its standard output and error to `<name>.log` in `scratch`.
     ///
     /// # Errors
     /// Fails when the program can't be started or the log can't be created.
@@ -63,16 +63,16 @@
         &self.name
     }
 
-    /// Its log file.
+    /// Path of the log file.
     #[must_use]
     pub fn log(&self) -> &Path {
         &self.log
     }
 
-    /// Reads lines of output until `find` is satisfied, at most for `limit`.
+    /// Reads lines of output until `find` returns a value, for at most `limit`.
     ///
     /// # Errors
-    /// [`XtaskError::NotReady`] when the time is over or the output ends before.
+    /// [`XtaskError::NotReady`] when the time limit passes or the output ends first.
     pub async fn wait_for_line<T>(
         &mut self,
         limit: Duration,
@@ -90,78 +90,79 @@
         found.ok_or_else(|| XtaskError::NotReady { name: self.name.clone(), log: self.log.clone() })
     }
 
-    /// Asks the process to end (SIGTERM), by its id.
+    /// Sends SIGTERM, which requests a graceful stop.
     ///
     /// # Errors
     /// Fails when the signal can't be sent.
     pub fn terminate(&self) -> Result<(), XtaskError> {
-        self.send(Signal::TERM)
+        self.send_signal(Signal::TERM)
     }
 
-    /// Tells the process that its settings have changed (SIGHUP), by its id.
+    /// Sends SIGHUP, on which a node reloads its settings.
     ///
     /// # Errors
     /// Fails when the signal can't be sent.
     pub fn hang_up(&self) -> Result<(), XtaskError> {
-        self.send(Signal::HUP)
+        self.send_signal(Signal::HUP)
     }
 
-    /// Kills the process (SIGKILL), by its id.
+    /// Sends SIGKILL, which ends the process at once.
     ///
     /// # Errors
     /// Fails when the signal can't be sent.
     pub fn kill(&self) -> Result<(), XtaskError> {
-        self.send(Signal::KILL)
+        self.send_signal(Signal::KILL)
     }
 
-    /// Stops the process without its noticing (SIGSTOP), by its id.
+    /// Sends SIGSTOP, which suspends the process; it can't handle or ignore the signal.
     ///
     /// # Errors
     /// Fails when the signal can't be sent.
     pub fn pause(&self) -> Result<(), XtaskError> {
-        self.send(Signal::STOP)
+        self.send_signal(Signal::STOP)
     }
 
-    /// Lets a paused process go on (SIGCONT), by its id.
+    /// Sends SIGCONT, which resumes a suspended process.
     ///
     /// # Errors
     /// Fails when the signal can't be sent.
     pub fn resume(&self) -> Result<(), XtaskError> {
-        self.send(Signal::CONT)
+        self.send_signal(Signal::CONT)
     }
 
-    /// Waits for the end of the process, at most for `limit`.
+    /// Waits for at most `limit` until the process exits.
     ///
     /// # Errors
-    /// [`XtaskError::NotEnded`] when the time is over.
-    pub async fn wait_for_end(&mut self, limit: Duration) -> Result<ExitStatus, XtaskError> {
+    /// [`XtaskError::NotExited`] when the process does not exit in time.
+    pub async fn wait_for_exit(&mut self, limit: Duration) -> Result<ExitStatus, XtaskError> {
         match timeout(limit, self.child.wait()).await {
             Ok(Ok(status)) => Ok(status),
-            Ok(Err(source)) => Err(XtaskError::Control { name: self.name.clone(), source }),
-            Err(_) => Err(XtaskError::NotEnded { name: self.name.clone(), log: self.log.clone() }),
+            Ok(Err(source)) => Err(XtaskError::ProcessControl { name: self.name.clone(), source }),
+            Err(_) => Err(XtaskError::NotExited { name: self.name.clone(), log: self.log.clone() }),
         }
     }
 
-    /// Waits for the end of the process and for success.
+    /// Waits for at most `limit` until the process exits, and checks that it exits with code 0.
     ///
     /// # Errors
-    /// [`XtaskError::NotEnded`] when the time is over, [`XtaskError::Failed`] after any other exit code than 0.
+    /// [`XtaskError::NotExited`] when the process does not exit in time, [`XtaskError::Failed`] when it exits
+    /// with another code or by a signal.
     pub async fn wait_for_success(&mut self, limit: Duration) -> Result<(), XtaskError> {
-        let status = self.wait_for_end(limit).await?;
+        let status = self.wait_for_exit(limit).await?;
         if status.success() {
             return Ok(());
         }
         Err(XtaskError::Failed { name: self.name.clone(), status, log: self.log.clone() })
     }
 
-    fn send(&self, signal: Signal) -> Result<(), XtaskError> {
+    fn send_signal(&self, signal: Signal) -> Result<(), XtaskError> {
         let id = self.child.id().and_then(|id| i32::try_from(id).ok()).and_then(Pid::from_raw);
-        // Without an id the process has ended and was waited for; the id may be another's by now.
+        // Without an id, the process has exited and was reaped. Its id may belong to another process by now.
         let Some(id) = id else {
             return Ok(());
         };
         kill_process(id, signal)
-            .map_err(|error| XtaskError::Control { name: self.name.clone(), source: error.into() })
+            .map_err(|error| XtaskError::ProcessControl { name: self.name.clone(), source: error.into() })
     }
 }
 
@@ -173,7 +174,7 @@
     let mut lines = BufReader::new(output).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let mut log = log.lock().unwrap_or_else(PoisonError::into_inner);
-        // A full disk must not stop the process whose log this is.
+        // A failed write, for example on a full disk, must not stop the child process.
         let _ = writeln!(log, "{line}");
         drop(log);
         let _ = sender.send(line);
--- a/xtask/src/supervise/mod.rs
+++ b/xtask/src/supervise/mod.rs
@@ -1,4 +1,5 @@
-//! Child processes: started with a log file each, waited for by a line of output, always ended by process id.
+//! Supervision of child processes. Each has a log file, is waited for by a line of its output, and is
+//! signalled by its process id.
 
 mod child;
 mod scratch;
--- a/xtask/src/supervise/scratch.rs
+++ b/xtask/src/supervise/scratch.rs
@@ -1,11 +1,11 @@
-//! A temporary folder for settings and logs.
+//! A temporary directory for settings and logs.
 
 use std::fs;
 use std::path::{Path, PathBuf};
 
 use crate::error::XtaskError;
 
-/// A folder that is removed with this value, unless it is to be kept.
+/// A temporary directory that is removed when this value is dropped, unless [`Self::keep`] was called.
 #[derive(Debug)]
 pub struct ScratchDirectory {
     path: PathBuf,
@@ -13,29 +13,29 @@
 }
 
 impl ScratchDirectory {
-    /// Creates a folder of this process in the system's temporary folder.
+    /// Creates a directory named after `task` and the process id in the system's temporary directory.
     ///
     /// # Errors
-    /// Fails when the folder can't be created.
+    /// Fails when the directory can't be created.
     pub fn create(task: &str) -> Result<Self, XtaskError> {
         let path = std::env::temp_dir().join(format!("umberpond-{task}-{}", std::process::id()));
         fs::create_dir_all(&path).map_err(XtaskError::file(&path))?;
         Ok(Self { path, is_kept: false })
     }
 
-    /// Path of the folder.
+    /// Path of the directory.
     #[must_use]
     pub fn path(&self) -> &Path {
         &self.path
     }
 
-    /// Path of a file in it.
+    /// Path of the file `name` in the directory.
     #[must_use]
     pub fn file(&self, name: &str) -> PathBuf {
         self.path.join(name)
     }
 
-    /// Writes a file in it; tells its path.
+    /// Writes the file `name` in the directory and returns its path.
     ///
     /// # Errors
     /// Fails when the file can't be written.
@@ -45,7 +45,7 @@
         Ok(path)
     }
 
-    /// Keeps the folder after this value is dropped.
+    /// Keeps the directory after this value is dropped.
     pub const fn keep(&mut self) {
         self.is_kept = true;
     }
@@ -54,7 +54,7 @@
 impl Drop for ScratchDirectory {
     fn drop(&mut self) {
         if !self.is_kept {
-            // Nothing depends on the removal; the system clears its temporary folder.
+            // A failed removal does no harm: the system clears its temporary directory.
             let _ = fs::remove_dir_all(&self.path);
         }
     }
--- a/xtask/src/variants/mod.rs
+++ b/xtask/src/variants/mod.rs
@@ -1,7 +1,8 @@
-//! `cargo xtask variants`: writes variants of a site file of the users' bench, so that nothing is fitted to the ones it has.
+//! `cargo xtask variants`: writes variants of a site file of the users' bench, so that tuning does not
+//! overfit the bench's own sites.
 //!
-//! The recipes are in `testing/variants/`. The site file is read where it is, and the variants are written to a folder outside the
-//! repository: nothing of the users' files is kept here.
+//! The recipes are in `testing/variants/`. The site file is read in place, and the variants are written to a
+//! directory outside the repository, so that no part of the users' files is stored in it.
 
 mod recipe;
 mod site;
@@ -17,10 +18,10 @@
 use crate::flags::Variants;
 use recipe::VariantRecipe;
 
-/// Folder of the recipes, from the root of the repository.
+/// Directory of the recipes, relative to the root of the repository.
 const RECIPES: &str = "testing/variants";
 
-/// Writes all variants of the site that is asked for.
+/// Writes one variant of the site file for each recipe.
 pub fn run(options: &Variants) -> Result<ExitCode, XtaskError> {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("..");
     let root = root.canonicalize().map_err(XtaskError::file(&root))?;
@@ -31,8 +32,8 @@
     std::fs::create_dir_all(&into).map_err(XtaskError::file(&into))?;
     let text = std::fs::read_to_string(&options.site).map_err(XtaskError::file(&options.site))?;
     let site: Table = toml::from_str(&text)
-        .map_err(|source| XtaskError::Unreadable { path: options.site.clone(), source: Box::new(source) })?;
-    copy_neighbours(&options.site, &into)?;
+        .map_err(|source| XtaskError::InvalidToml { path: options.site.clone(), source: Box::new(source) })?;
+    copy_wire_description(&options.site, &into)?;
     for (name, recipe) in VariantRecipe::read_all(&root.join(RECIPES))? {
         let path = write_variant(&site, &options.site, &into, &name, &recipe)?;
         println!("{}: {}", path.display(), recipe.about);
@@ -55,8 +56,9 @@
     Ok(path)
 }
 
-/// The bench reads a description of the wire beside each site.
-fn copy_neighbours(site: &Path, into: &Path) -> Result<(), XtaskError> {
+/// Copies `wire.json`, the description of the wire format, which the bench reads from the directory of the
+/// site file.
+fn copy_wire_description(site: &Path, into: &Path) -> Result<(), XtaskError> {
     let wire = site.with_file_name("wire.json");
     if wire.exists() {
         std::fs::copy(&wire, into.join("wire.json")).map_err(XtaskError::file(&wire))?;
--- a/xtask/src/variants/site.rs
+++ b/xtask/src/variants/site.rs
@@ -1,6 +1,6 @@
-//! A site file as a table, and the changes made to it.
+//! Applies recipes to a site file, which is kept as a TOML table.
 //!
-//! The file is the users' and has many more keys than are named here; all others stay as they are.
+//! The users' site files have many more keys than are named here; all other keys are preserved.
 
 use std::collections::BTreeMap;
 
@@ -8,14 +8,14 @@
 
 use super::recipe::{FarRegion, VariantRecipe};
 
-/// Part of the zones that a far region takes.
-const FAR_PART: usize = 3;
+/// A far region takes one zone of this many, rounded down.
+const FAR_REGION_DIVISOR: usize = 3;
 
-/// Applies `recipe` to a site.
+/// Applies `recipe` to `site`.
 pub fn apply(site: &mut Table, recipe: &VariantRecipe) {
-    if let Some(is_told) = recipe.load_told {
+    if let Some(is_reported) = recipe.load_told {
         for service in tables(site, "services") {
-            service.insert("load_header".to_owned(), Value::Boolean(is_told));
+            service.insert("load_header".to_owned(), Value::Boolean(is_reported));
         }
     }
     if !recipe.links_mbps.is_empty() {
@@ -35,7 +35,7 @@
     }
 }
 
-/// The tables of the list called `key`.
+/// The tables in the array at `key`.
 fn tables<'a>(table: &'a mut Table, key: &str) -> impl Iterator<Item = &'a mut Table> {
     let list = table.get_mut(key).and_then(Value::as_array_mut);
     list.into_iter().flatten().filter_map(Value::as_table_mut)
@@ -47,7 +47,7 @@
 
 fn move_zones(site: &mut Table, region: &FarRegion) {
     let count = tables(site, "zones").count();
-    let kept = count - count / FAR_PART;
+    let kept = count - count / FAR_REGION_DIVISOR;
     for zone in tables(site, "zones").skip(kept) {
         zone.insert("region".to_owned(), Value::String(region.name.clone()));
     }
@@ -56,7 +56,8 @@
     }
 }
 
-/// Scales the mixes of all traffic so that the service with most requests has `share` of them.
+/// Scales the weights of all traffic mixes so that the service with the most requests receives `share` of
+/// them.
 fn shift_traffic(site: &mut Table, share: f64) {
     let service_of: BTreeMap<String, String> = tables(site, "classes")
         .map(|class| (text(class, "name").to_owned(), text(class, "service").to_owned()))
@@ -67,8 +68,8 @@
     }
 }
 
-fn scale_mixes(holder: &mut Table, service_of: &BTreeMap<String, String>, share: f64) {
-    for traffic in tables(holder, "traffic") {
+fn scale_mixes(parent: &mut Table, service_of: &BTreeMap<String, String>, share: f64) {
+    for traffic in tables(parent, "traffic") {
         if let Some(mix) = traffic.get_mut("mix").and_then(Value::as_table_mut) {
             scale_mix(mix, service_of, share);
         }
@@ -99,7 +100,8 @@
     }
 }
 
-/// Leaves `machines` machines in the first zone, taken from its groups in turn.
+/// Reduces the first zone to `machines` machines, spread over its groups as evenly as their sizes allow, and
+/// removes empty groups.
 fn shrink_first_zone(site: &mut Table, machines: u32) {
     let Some(zone) = tables(site, "zones").next().map(|zone| text(zone, "name").to_owned()) else { return };
     let groups: Vec<&mut Table> =
@@ -108,10 +110,10 @@
     let count = i64::try_from(groups.len()).unwrap_or(i64::MAX);
     for (index, group) in groups.into_iter().enumerate() {
         let groups_left = count - i64::try_from(index).unwrap_or(i64::MAX);
-        let held = group.get("count").and_then(Value::as_integer).unwrap_or(0);
-        let given = held.min((left + groups_left - 1) / groups_left.max(1));
-        group.insert("count".to_owned(), Value::Integer(given));
-        left -= given;
+        let current = group.get("count").and_then(Value::as_integer).unwrap_or(0);
+        let assigned = current.min((left + groups_left - 1) / groups_left.max(1));
+        group.insert("count".to_owned(), Value::Integer(assigned));
+        left -= assigned;
     }
     if let Some(list) = site.get_mut("machines").and_then(Value::as_array_mut) {
         list.retain(|group| group.get("count").and_then(Value::as_integer) != Some(0));
