--- a/crates/acceptance/src/acceptor.rs
+++ b/crates/acceptance/src/acceptor.rs
@@ -1,4 +1,4 @@
-//! The acceptor of one node.
+//! The acceptor: the entry point for submissions on one node.
 
 use std::fmt;
 use std::sync::Arc;
@@ -19,14 +19,14 @@
 use crate::shared::{AcceptorSettings, Shared, UnixClock};
 use crate::{AbandonError, Abandonment, Accepted, Change, NotAcceptedReason, Resolution, Step, SubmitError};
 
-/// What an acceptor works with.
+/// Dependencies of an acceptor.
 #[derive(Clone)]
 pub struct AcceptorContext {
-    /// The platform's objects.
+    /// The platform's object store.
     pub store: Arc<dyn ObjectStore>,
-    /// Wall clock for the records.
+    /// Wall clock for the timestamps in version records.
     pub unix_millis: UnixClock,
-    /// Seed of the jitter.
+    /// Seed of the backoff jitter.
     pub seed: u64,
 }
 
@@ -42,11 +42,11 @@
     }
 }
 
-/// Wait told to an operator whose submission found no free place.
+/// `retry_after` of a submission that is refused because the node runs its maximum number of submissions.
 const BUSY_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 impl Acceptor {
-    /// An acceptor with these limits.
+    /// Creates an acceptor with these limits.
     #[must_use]
     pub fn new(context: AcceptorContext, settings: AcceptorSettings) -> Self {
         let shared = Shared {
@@ -55,22 +55,23 @@
             settings,
             rng: Mutex::new(ChaCha8Rng::seed_from_u64(context.seed)),
             bases: BaseCache::default(),
-            places: Semaphore::new(settings.max_concurrent),
+            permits: Semaphore::new(settings.max_concurrent),
         };
         Self { shared: Arc::new(shared) }
     }
 
-    /// The reader that this acceptor uses.
+    /// The chain reader that this acceptor uses.
     #[must_use]
     pub fn chain(&self) -> &ChainReader {
         &self.shared.chain
     }
 
-    /// Submits a change of one bundle. Submitting again with the same id is safe at any time and answers with
-    /// the version that the id has, if it has one; the content of the first submission that arrived counts.
+    /// Submits a change of one bundle. Submitting again with the same id is safe at any time and returns the
+    /// version already accepted under this id, if any; the content of the submission that was accepted first
+    /// applies.
     ///
     /// # Errors
-    /// Returns [`SubmitError`]; see there which answers are final.
+    /// Returns [`SubmitError`], which documents which errors are final.
     pub async fn submit(
         &self,
         submission: SubmissionId,
@@ -82,15 +83,16 @@
             Change::Withdraw => Request::Withdraw { name: bundle },
         };
         self.check_size(&request)?;
-        self.settle(submission, &request).await
+        self.run_submission(submission, &request).await
     }
 
-    /// Gives a submission up, so that it can't be accepted any more, by a version that changes nothing.
+    /// Abandons a submission by adding a version that changes nothing, so that the submission can't be
+    /// accepted later.
     ///
     /// # Errors
     /// Returns [`AbandonError`]; the submission may then still be accepted.
     pub async fn abandon(&self, submission: SubmissionId) -> Result<Abandonment, AbandonError> {
-        match self.settle(submission, &Request::Abandon).await {
+        match self.run_submission(submission, &Request::Abandon).await {
             Ok(Accepted { version, .. }) | Err(SubmitError::Abandoned { version }) => {
                 Ok(Abandonment::Abandoned(version))
             }
@@ -98,7 +100,7 @@
             Err(SubmitError::NotAccepted { reason, retry_after }) => {
                 Err(AbandonError::NotAbandoned { reason, retry_after })
             }
-            // The others speak of bundles, which an abandonment leaves alone.
+            // The other errors concern bundles; an abandonment changes none.
             Err(
                 SubmitError::Unknown { .. }
                 | SubmitError::Invalid(_)
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Looks a submission up in the chain, without changing anything.
+    /// Looks up a submission in the chain without changing anything.
     pub async fn resolve(&self, submission: SubmissionId) -> Resolution {
         let deadline = Instant::now() + self.shared.settings.deadline;
         let search = async {
@@ -135,8 +137,12 @@
         }
     }
 
-    async fn settle(&self, submission: SubmissionId, request: &Request) -> Result<Accepted, SubmitError> {
-        let Ok(_place) = self.shared.places.try_acquire() else {
+    async fn run_submission(
+        &self,
+        submission: SubmissionId,
+        request: &Request,
+    ) -> Result<Accepted, SubmitError> {
+        let Ok(_permit) = self.shared.permits.try_acquire() else {
             let reason = NotAcceptedReason::Busy;
             return Err(SubmitError::NotAccepted { reason, retry_after: BUSY_RETRY_AFTER });
         };
--- a/crates/acceptance/src/attempt.rs
+++ b/crates/acceptance/src/attempt.rs
@@ -1,15 +1,15 @@
-//! The tries of one submission, from reading the head to moving it.
+//! The attempts of one submission, from reading the head to replacing it.
 //!
-//! At most one compare-and-swap of a submission can be on its way with an unknown outcome: the *pending* one. It
-//! names the version of the head object that it replaces, and object versions are never reused, so it can
-//! succeed only while the head still stands at that version. From that follow the two ways out:
+//! At most one compare-and-swap of a submission can be in flight with an unknown outcome: the *pending* swap.
+//! It expects a specific version of the head object, and object versions are never reused, so it can succeed
+//! only while the head still has that version. There are two cases:
 //!
-//! - the head still stands there: the same swap, byte for byte, is sent again. One of the two can succeed, and
-//!   whichever does accepts the same version;
-//! - the head has moved: the pending swap is either the one that moved it, and the chain holds the submission,
-//!   or it can never succeed, and a new try is safe.
+//! - the head still has that version: the same swap is sent again with identical bytes. Only one of the two
+//!   can succeed, and either accepts the same version;
+//! - the head has changed: either the pending swap succeeded and the chain contains the submission, or it can
+//!   never succeed and a new attempt is safe.
 //!
-//! "Not accepted" is said only without a pending swap.
+//! A submission is reported as not accepted only if no swap is pending.
 
 use std::time::Duration;
 
@@ -22,12 +22,12 @@
 
 use crate::base::Base;
 use crate::chain::{HeadSeen, Search};
-use crate::prepare::{Circumstances, PrepareError, Prepared, Request, prepare};
+use crate::prepare::{AttemptInfo, PrepareError, Prepared, Request, prepare};
 use crate::shared::Shared;
 use crate::swap::{swap_head, write_content};
 use crate::{Accepted, ChainError, NotAcceptedReason, RecordObject, Step, SubmitError, Winner};
 
-/// Wait told to the operator where the platform names none.
+/// `retry_after` of a refusal if the platform did not request a delay.
 const DEFAULT_RETRY_AFTER: Duration = Duration::from_secs(1);
 
 /// A swap whose outcome is unknown.
@@ -37,16 +37,16 @@
     prepared: Prepared,
 }
 
-/// How a round ended that did not settle the submission.
+/// The result of one round that did not end in an error.
 enum Round {
     Accepted(Box<Accepted>),
-    /// Another submission moved the head first.
+    /// Another submission replaced the head first.
     Lost,
-    /// The platform did not do its part.
+    /// A platform request failed.
     Failed(PlatformError),
 }
 
-/// One submission on its way.
+/// One submission in progress.
 pub(crate) struct Attempt<'a> {
     shared: &'a Shared,
     submission: SubmissionId,
@@ -55,8 +55,8 @@
     backoff: Backoff,
     rounds_lost: u32,
     pending: Option<Pending>,
-    /// The newest version together with which the submission passed the check.
-    passed_with: Option<Version>,
+    /// The newest version against which the submission passed the check.
+    checked_against: Option<Version>,
 }
 
 impl<'a> Attempt<'a> {
@@ -69,11 +69,11 @@
             backoff: Backoff::new(shared.settings.backoff),
             rounds_lost: 0,
             pending: None,
-            passed_with: None,
+            checked_against: None,
         }
     }
 
-    /// Tries until the submission is settled or the deadline passes.
+    /// Runs rounds until the outcome of the submission is known or the deadline passes.
     pub(crate) async fn run(mut self) -> Result<Accepted, SubmitError> {
         loop {
             let failure = match timeout_at(self.deadline, self.round()).await {
@@ -111,7 +111,7 @@
         self.refuse(NotAcceptedReason::PlatformUnavailable, retry_after)
     }
 
-    /// "Not accepted", unless a swap is pending.
+    /// Returns `NotAccepted`, or `Unknown` if a swap is pending.
     fn refuse(&self, reason: NotAcceptedReason, retry_after: Duration) -> SubmitError {
         if self.pending.is_some() {
             return SubmitError::Unknown { submission: self.submission };
@@ -123,11 +123,11 @@
         self.refuse(NotAcceptedReason::Chain(error), DEFAULT_RETRY_AFTER)
     }
 
-    /// A failed read: worth another round, or the end.
+    /// Decides whether a failed read leads to another round or ends the submission.
     fn failed_read(&self, error: ChainError) -> Result<Round, SubmitError> {
         match error {
             ChainError::Platform(error) if error.is_transient() => Ok(Round::Failed(error)),
-            // Collected since the head was read; the next round reads a newer head.
+            // The object was garbage-collected after the head was read; the next round reads a newer head.
             ChainError::Missing { .. } if self.rounds_lost + 1 < self.shared.settings.max_tries => {
                 Ok(Round::Lost)
             }
@@ -151,12 +151,14 @@
         if let Some(pending) = self.pending.take_if(|pending| pending.expected == expected) {
             return self.swap(expected, pending.base_version, pending.prepared, true).await;
         }
-        // The head has moved and does not hold the submission: what was pending can't succeed any more.
+        // The head has changed and the chain does not contain the submission: the pending swap can't succeed
+        // any more.
         self.pending = None;
         self.next_version(seen).await
     }
 
-    /// A search that does not reach back to the base of the pending swap proves nothing about it.
+    /// Returns `Unknown` if the search did not reach back to the base of the pending swap, because the swap
+    /// may then have succeeded in a version that was not searched.
     fn check_search(&self, from: Version) -> Result<(), SubmitError> {
         match &self.pending {
             Some(pending) if from > pending.base_version.next() => {
@@ -166,7 +168,7 @@
         }
     }
 
-    /// The submission stands in the chain: for this request, or for another.
+    /// Handles a submission id found in the chain, which may belong to this request or to another one.
     fn found(&self, object: &RecordObject) -> Result<Box<Accepted>, SubmitError> {
         let version = object.record.version;
         if object.step.is_same_request(&self.request.step()) {
@@ -186,7 +188,7 @@
             Err(error) => return self.failed_read(error),
         };
         let prepared = self.prepare(&base)?;
-        self.passed_with = Some(base.version());
+        self.checked_against = Some(base.version());
         let store = self.shared.chain.store();
         let writes = prepared.objects.iter().cloned();
         let writes = writes.map(|(hash, bytes)| write_content(store, hash, bytes, expected));
@@ -199,17 +201,18 @@
 
     fn prepare(&self, base: &Base) -> Result<Prepared, SubmitError> {
         let unix_millis = (self.shared.unix_millis)();
-        let circumstances = Circumstances { submission: self.submission, unix_millis };
-        prepare(base, self.request, circumstances).map_err(|error| match error {
+        let info = AttemptInfo { submission: self.submission, unix_millis };
+        prepare(base, self.request, info).map_err(|error| match error {
             PrepareError::NotInForce { bundle, version } => SubmitError::NotInForce { bundle, version },
             PrepareError::Faulty(report) => self.faulty(base, report),
         })
     }
 
-    /// A fault that appeared since the submission passed the check comes from whoever won in between.
+    /// Classifies a failed check. If the submission passed the check in an earlier round, the fault results
+    /// from a version accepted since then.
     fn faulty(&self, base: &Base, report: CheckReport) -> SubmitError {
         let newest = base.record.as_ref().map(|(_, object)| &object.record);
-        match (self.passed_with, newest) {
+        match (self.checked_against, newest) {
             (Some(_), Some(newest)) => {
                 let winner = Winner { version: newest.version, submission: newest.submission };
                 SubmitError::Conflict { winner, report }
@@ -218,24 +221,24 @@
         }
     }
 
-    /// Sends the swap. `again` tells that the same swap is already on its way with an unknown outcome.
+    /// Sends the swap. `is_resend` is set if the same swap is already in flight with an unknown outcome.
     async fn swap(
         &mut self,
         expected: Option<ObjectVersion>,
         base_version: Version,
         prepared: Prepared,
-        again: bool,
+        is_resend: bool,
     ) -> Result<Round, SubmitError> {
         let head: Bytes = prepared.head.clone();
-        // Pending from the moment of sending: the deadline may end this call at any point after it.
+        // Set before sending, because the deadline may cancel this call at any later point.
         self.pending = Some(Pending { expected, base_version, prepared: prepared.clone() });
         match swap_head(self.shared.chain.store(), expected, head).await {
             Ok(_) => {
                 self.pending = None;
-                Ok(Round::Accepted(Box::new(self.landed(&prepared))))
+                Ok(Round::Accepted(Box::new(self.committed(&prepared))))
             }
             Err(error) => {
-                if !again && !error.may_have_changed() {
+                if !is_resend && !error.may_have_changed() {
                     self.pending = None;
                 }
                 match error {
@@ -247,9 +250,9 @@
         }
     }
 
-    fn landed(&self, prepared: &Prepared) -> Accepted {
+    fn committed(&self, prepared: &Prepared) -> Accepted {
         if let Some((hash, object)) = &prepared.base.record {
-            self.shared.chain.content().remember(*hash, object.clone());
+            self.shared.chain.content().cache_record(*hash, object.clone());
         }
         self.shared.bases.store(prepared.base.clone());
         Accepted { version: prepared.record.version, record: prepared.record.clone() }
--- a/crates/acceptance/src/base.rs
+++ b/crates/acceptance/src/base.rs
@@ -1,4 +1,4 @@
-//! The newest version as the base of the next.
+//! The newest version, as the base of the next one.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -11,10 +11,10 @@
 use crate::chain::{CONCURRENT_READS, ChainReader};
 use crate::{ChainError, Manifest, RecordObject};
 
-/// Everything that the next version builds on.
+/// Content of the version that the next version is based on.
 #[derive(Debug, Clone, Default)]
 pub(crate) struct Base {
-    /// Hash and object of the record; absent before the first version.
+    /// Hash and content of the record object; absent before the first version.
     pub(crate) record: Option<(ContentHash, Arc<RecordObject>)>,
     pub(crate) manifest: Manifest,
     pub(crate) bundles: BTreeMap<BundleName, Arc<Bundle>>,
@@ -32,14 +32,14 @@
     }
 }
 
-/// The base that this process used last: the only copy of the bundles that it keeps.
+/// Cache of the base that this process used last. The process keeps no other copy of the bundles.
 #[derive(Default)]
 pub(crate) struct BaseCache {
     last: Mutex<Option<Arc<Base>>>,
 }
 
 impl BaseCache {
-    /// The base for `head`; reads only what the last base does not hold.
+    /// Returns the base for `head`. Reuses the bundles of the cached base and reads only the others.
     pub(crate) async fn load(
         &self,
         chain: &ChainReader,
@@ -64,7 +64,7 @@
     }
 }
 
-/// Reads the bundles of the version that `record` names, but for those in `known`, and joins them.
+/// Reads the bundles of the version with record `record`, except those in `known`, and joins them.
 async fn read_base(
     chain: &ChainReader,
     record: ContentHash,
@@ -74,7 +74,7 @@
     let version = object.record.version;
     let manifest = chain.content().manifest(object.record.manifest).await?;
     let bundles = read_bundles(chain, &manifest, known).await?;
-    let snapshot = join(&bundles).map_err(|report| ChainError::NotJoined { version, report })?;
+    let snapshot = join(&bundles).map_err(|report| ChainError::JoinFailed { version, report })?;
     if snapshot.content_hash() != object.record.snapshot {
         return Err(ChainError::SnapshotMismatch { version });
     }
--- a/crates/acceptance/src/chain.rs
+++ b/crates/acceptance/src/chain.rs
@@ -1,4 +1,5 @@
-//! Reading the chain: the head, records, steps, whole configurations, and the search for a submission.
+//! Reads the version chain: the head, records, steps and full configurations, and searches it for
+//! submissions.
 
 use std::sync::Arc;
 
@@ -11,34 +12,35 @@
 use crate::encoding::decode;
 use crate::{CHECKPOINT_VERSIONS, ChainError, Manifest, RecordObject};
 
-/// Name of the one object of kind `head`.
+/// Name of the only object of kind `head`.
 pub const HEAD_NAME: &str = "head";
 
-/// Content objects that one reader fetches at once. The process's gate limits all of them together.
+/// Content objects that one reader fetches concurrently. The process's `PlatformGate` limits all readers
+/// together.
 pub(crate) const CONCURRENT_READS: usize = 4;
 
-/// Pages that a search for a submission reads at most: 64 pages of 64 versions.
+/// Maximum number of pages that a search for a submission reads: 64 pages of 64 versions.
 pub const MAX_SEARCHED_PAGES: usize = 64;
 
-/// The head and the version of its object, which a compare-and-swap names.
+/// The head and the version of its object, which a compare-and-swap expects.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct HeadSeen {
     /// The head.
     pub head: Head,
-    /// Version of the head object in this state.
+    /// Version of the head object.
     pub object_version: ObjectVersion,
 }
 
-/// One accepted version with its change from the version before.
+/// One accepted version with its delta from the previous version.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct AcceptedStep {
     /// The record.
     pub record: VersionRecord,
-    /// Change from the version before.
+    /// Delta from the previous version.
     pub delta: Delta,
 }
 
-/// One accepted version with its whole configuration.
+/// One accepted version with its full configuration.
 #[derive(Debug, Clone)]
 pub struct WholeConfiguration {
     /// The record.
@@ -50,21 +52,21 @@
 /// Result of a search for a submission.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Search {
-    /// The submission stands in the chain.
+    /// The chain contains the submission.
     Found {
         /// Hash of its record object.
         hash: ContentHash,
         /// Its record object.
         record: Arc<RecordObject>,
     },
-    /// It stands in none of the versions from `from` to the head.
+    /// None of the versions from `from` to the head contains it.
     Absent {
         /// The oldest version that was searched.
         from: Version,
     },
 }
 
-/// Reads the chain from an object store. Clones share the cache of records.
+/// Reads the chain from an object store. Clones share the record cache.
 #[derive(Clone)]
 pub struct ChainReader {
     store: Arc<dyn ObjectStore>,
@@ -80,7 +82,7 @@
 }
 
 impl ChainReader {
-    /// A reader of the chain in `store`.
+    /// Creates a reader of the chain in `store`.
     #[must_use]
     pub fn new(store: Arc<dyn ObjectStore>) -> Self {
         Self { content: Content::new(Arc::clone(&store)), store }
@@ -97,7 +99,7 @@
     /// Reads the head; `None` before the first version.
     ///
     /// # Errors
-    /// Returns [`ChainError`] if the platform does not answer or the head can't be decoded.
+    /// Returns [`ChainError`] if the platform request fails or the head can't be decoded.
     pub async fn read_head(&self) -> Result<Option<HeadSeen>, ChainError> {
         let Some(object) = self.store.get(ObjectKind::Head, HEAD_NAME).await? else {
             return Ok(None);
@@ -114,7 +116,7 @@
         self.content.record(hash).await
     }
 
-    /// The manifest whose hash is `hash`: every bundle in force and the hash of its content.
+    /// Reads the manifest with hash `hash`: every active bundle and the hash of its content.
     ///
     /// # Errors
     /// Returns [`ChainError`] if it can't be read.
@@ -122,11 +124,11 @@
         self.content.manifest(hash).await
     }
 
-    /// Reads the record of `version`, searched from `head` backwards, one read per page.
+    /// Reads the record of `version`, searching backwards from `head` with one read per page.
     ///
     /// # Errors
-    /// Returns [`ChainError::Missing`] if it has been collected, [`ChainError::Inconsistent`] if `head` does not
-    /// reach it.
+    /// Returns [`ChainError::Missing`] if it has been garbage-collected and [`ChainError::Inconsistent`] if
+    /// it is not reachable from `head`.
     pub async fn read_record_at(
         &self,
         head: &Head,
@@ -149,7 +151,7 @@
     /// Reads the step that led to `version`.
     ///
     /// # Errors
-    /// As [`Self::read_record_at`].
+    /// Same as [`Self::read_record_at`].
     pub async fn read_step(&self, head: &Head, version: Version) -> Result<AcceptedStep, ChainError> {
         let (_, object) = self.read_record_at(head, version).await?;
         self.step_of(&object).await
@@ -163,7 +165,8 @@
     /// Reads the steps after `held` up to `head`, oldest first.
     ///
     /// # Errors
-    /// Returns [`ChainError::Missing`] if a step has been collected; the reader then needs the whole.
+    /// Returns [`ChainError::Missing`] if a step has been garbage-collected; the reader then needs the full
+    /// configuration.
     pub async fn read_steps_after(
         &self,
         held: Version,
@@ -199,11 +202,11 @@
         Ok(newest_first)
     }
 
-    /// Reads the whole configuration of the version that `record` (a hash) names: the checkpoint at or before
-    /// it, and the steps from there.
+    /// Reads the full configuration of the version with record hash `record`: the last checkpoint at or
+    /// before it, and the steps after that checkpoint.
     ///
     /// # Errors
-    /// Returns [`ChainError`] if an object can't be read or the steps do not lead to the accepted snapshot.
+    /// Returns [`ChainError`] if an object can't be read or the steps do not result in the accepted snapshot.
     pub async fn read_whole(&self, record: ContentHash) -> Result<WholeConfiguration, ChainError> {
         let object = self.read_record(record).await?;
         let version = object.record.version;
@@ -219,7 +222,7 @@
         Ok(WholeConfiguration { record: object.record.clone(), snapshot })
     }
 
-    /// The snapshot of version `start`, which has a checkpoint and lies on the page of `object`.
+    /// Reads the snapshot of version `start`, which has a checkpoint and is on the page of `object`.
     async fn read_checkpoint(&self, object: &RecordObject, start: Version) -> Result<Snapshot, ChainError> {
         let inconsistent = ChainError::Inconsistent { version: start };
         if start == Version::GENESIS {
@@ -235,11 +238,11 @@
         self.content.checkpoint(hash).await
     }
 
-    /// Searches the chain from `head` backwards for a submission, one read per page, at most
-    /// [`MAX_SEARCHED_PAGES`] pages or to where the chain has been collected.
+    /// Searches the chain backwards from `head` for a submission with one read per page. Stops after
+    /// [`MAX_SEARCHED_PAGES`] pages or at the first record that has been garbage-collected.
     ///
     /// # Errors
-    /// Returns [`ChainError`] if a record can't be read for another reason than collection.
+    /// Returns [`ChainError`] if a record can't be read for a reason other than garbage collection.
     pub async fn find_submission(&self, head: &Head, submission: SubmissionId) -> Result<Search, ChainError> {
         let mut record = self.read_record(head.record).await?;
         let mut hash = head.record;
--- a/crates/acceptance/src/collect.rs
+++ b/crates/acceptance/src/collect.rs
@@ -1,9 +1,9 @@
-//! Deletion of content objects that no kept version needs.
+//! Garbage collection of content objects that no retained version references.
 //!
-//! An acceptor names in a new version only objects that the head it builds on names, or that it has written
-//! since it read that head (see `swap`). So an object that is missing from the versions kept at one reading of
-//! the head, and older than that head, can't come into use unless it is first rewritten, and then the condition
-//! of the delete fails. No clock and no lease is involved.
+//! A new version references only objects that the head it is based on references, or that its acceptor has
+//! written since it read that head (see `swap`). So if an object is older than the head that the collection
+//! read and none of the retained versions references it, it can be referenced again only after it is
+//! rewritten, and then the conditional delete fails. The collection depends on neither a clock nor a lease.
 
 use std::collections::BTreeSet;
 
@@ -15,19 +15,20 @@
 use crate::objects::has_checkpoint;
 use crate::{ChainError, Step};
 
-/// Fewest versions that can be kept: a reader needs the record before the head's, and a resubmission is
-/// recognised only inside the kept versions.
+/// Minimum number of versions to retain: a reader needs the record before the head's, and a repeated
+/// submission is recognised only within the retained versions.
 pub const MIN_KEPT_VERSIONS: u64 = 64;
 
-/// Names read per request.
+/// Names listed per request.
 const PAGE_NAMES: usize = 500;
 
-/// What a collection keeps.
+/// Retention settings of a collection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CollectSettings {
-    /// Newest versions whose objects are kept, at least [`MIN_KEPT_VERSIONS`].
+    /// Number of newest versions whose objects are retained, at least [`MIN_KEPT_VERSIONS`].
     pub keep_versions: u64,
-    /// An object is deleted only if it was written before the version this many versions before the head.
+    /// An object is deleted only if it was written before the version that is this many versions behind the
+    /// head.
     pub grace_versions: u64,
 }
 
@@ -37,26 +38,26 @@
     }
 }
 
-/// What a collection did.
+/// Result of a collection.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct CollectReport {
-    /// Content objects seen.
+    /// Number of content objects listed.
     pub seen: usize,
-    /// Objects deleted.
+    /// Number of objects deleted.
     pub deleted: usize,
-    /// Unused objects left because they are younger than the grace.
-    pub left_young: usize,
-    /// Unused objects that were changed or deleted by another meanwhile.
-    pub left_changed: usize,
+    /// Number of unreferenced objects kept because they are within the grace period.
+    pub kept_recent: usize,
+    /// Number of unreferenced objects that another process changed or deleted concurrently.
+    pub kept_changed: usize,
 }
 
-/// A collection that stopped. What it deleted until then was not needed.
+/// Why a collection stopped early. Every object deleted until then was unreferenced.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum CollectError {
-    /// The settings keep too few versions.
+    /// The settings retain too few versions.
     #[error("at least {MIN_KEPT_VERSIONS} versions must be kept, not {keep_versions}")]
     KeepsTooFew {
-        /// The setting.
+        /// Value of the setting.
         keep_versions: u64,
     },
     /// The chain could not be read.
@@ -70,10 +71,11 @@
     }
 }
 
-/// Deletes old content objects that none of the kept versions names. Safe at any time, also several at once.
+/// Deletes old content objects that no retained version references. Safe to run at any time, also
+/// concurrently.
 ///
 /// # Errors
-/// Returns [`CollectError`]; a later collection goes on where this one stopped.
+/// Returns [`CollectError`]; a later collection deletes the remaining objects.
 pub async fn collect(chain: &ChainReader, settings: CollectSettings) -> Result<CollectReport, CollectError> {
     let keep_versions = settings.keep_versions;
     if keep_versions < MIN_KEPT_VERSIONS {
@@ -103,8 +105,9 @@
     }
 }
 
-/// Objects at or after this version are too young to be deleted; `None` if all are. Never later than the head
-/// that was read: whatever is written on top of that head is then surely too young.
+/// Returns the object version from which on objects are too recent to be deleted; `None` if all are. It is
+/// never later than the head that was read, so objects written for versions based on that head are always too
+/// recent.
 async fn grace_limit(
     chain: &ChainReader,
     seen: &HeadSeen,
@@ -118,8 +121,9 @@
     Ok(object.map(|object| object.version.min(seen.object_version)))
 }
 
-/// Names of all objects that the kept versions need, back to the checkpoint at or before the oldest. Each version changes one bundle at most, so the manifest
-/// of the oldest kept version and the steps after it name every bundle.
+/// Returns the names of all objects that the retained versions need, back to the checkpoint at or before the
+/// oldest. Each version changes at most one bundle, so the manifest of the oldest retained version and the
+/// steps after it reference every bundle.
 async fn used_objects(
     chain: &ChainReader,
     seen: &HeadSeen,
@@ -131,7 +135,7 @@
     let mut kept = 0;
     while let Some(hash) = next {
         let object = match chain.read_record(hash).await {
-            // An earlier collection kept fewer versions.
+            // An earlier collection retained fewer versions.
             Err(ChainError::Missing { .. }) => break,
             other => other?,
         };
@@ -165,12 +169,12 @@
     report: &mut CollectReport,
 ) -> Result<(), CollectError> {
     if item.version >= written_before {
-        report.left_young += 1;
+        report.kept_recent += 1;
         return Ok(());
     }
     match chain.store().delete(ObjectKind::Content, &item.name, item.version).await {
         Ok(()) => report.deleted += 1,
-        Err(PlatformError::Conflict { .. } | PlatformError::NotFound) => report.left_changed += 1,
+        Err(PlatformError::Conflict { .. } | PlatformError::NotFound) => report.kept_changed += 1,
         Err(error) => return Err(error.into()),
     }
     Ok(())
--- a/crates/acceptance/src/content.rs
+++ b/crates/acceptance/src/content.rs
@@ -1,4 +1,4 @@
-//! Reads of immutable objects, with a bounded cache of records.
+//! Reads immutable objects, with a bounded cache of records.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
@@ -12,10 +12,11 @@
 use crate::encoding::decode;
 use crate::{ChainError, Manifest, RecordObject};
 
-/// Records kept. One record per page is needed again and again; at most a few kilobytes each.
+/// Number of cached records. Searches repeatedly read one record per page; each takes at most a few
+/// kilobytes.
 const CACHED_RECORDS: usize = 256;
 
-/// Reads content objects and compares each with the hash that names it.
+/// Reads content objects and verifies that each matches the hash in its name.
 #[derive(Clone)]
 pub(crate) struct Content {
     store: Arc<dyn ObjectStore>,
@@ -56,8 +57,8 @@
         Ok(record)
     }
 
-    /// Puts a record that this process has just written into the cache.
-    pub(crate) fn remember(&self, hash: ContentHash, record: Arc<RecordObject>) {
+    /// Adds a record that this process has just written to the cache.
+    pub(crate) fn cache_record(&self, hash: ContentHash, record: Arc<RecordObject>) {
         self.records.lock().insert(hash, record);
     }
 
--- a/crates/acceptance/src/encoding.rs
+++ b/crates/acceptance/src/encoding.rs
@@ -1,10 +1,10 @@
-//! Encoding of the chain's own objects: bitcode bytes behind a one-byte schema number.
+//! Encoding of the chain's own objects: bitcode bytes prefixed with a one-byte schema number.
 
 use bitcode::{DecodeOwned, Encode};
 use bytes::Bytes;
 use umberpond_config::DecodeError;
 
-/// Schema number of the head, the manifest and the record as this program writes them.
+/// Schema number with which this program writes the head, manifests and records.
 const SCHEMA: u8 = 3;
 
 pub(crate) fn encode<T: Encode>(value: &T) -> Bytes {
--- a/crates/acceptance/src/error.rs
+++ b/crates/acceptance/src/error.rs
@@ -1,4 +1,4 @@
-//! Failures of reading the chain.
+//! Errors of reading the chain.
 
 use thiserror::Error;
 use umberpond_config::{CheckReport, DecodeError};
@@ -8,8 +8,8 @@
 /// The chain could not be read. Nothing was changed.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ChainError {
-    /// The platform did not answer.
-    #[error("the platform did not answer")]
+    /// A platform request failed.
+    #[error("the platform request failed")]
     Platform(#[from] PlatformError),
     /// The head can't be decoded; a newer program may have written it.
     #[error("the head can't be decoded")]
@@ -23,34 +23,35 @@
         #[source]
         source: DecodeError,
     },
-    /// A content object does not exist (any more). A reader that is this far behind starts again at the head.
+    /// A content object does not exist, for example because it was garbage-collected. A reader that is this
+    /// far behind starts again at the head.
     #[error("the content object {hash} does not exist")]
     Missing {
         /// Name of the object.
         hash: ContentHash,
     },
-    /// The bytes of a content object do not have the hash that names it.
+    /// The bytes of a content object do not match the hash in its name.
     #[error("the content object {hash} is damaged")]
     Damaged {
         /// Name of the object.
         hash: ContentHash,
     },
-    /// Records do not follow one another as they say.
-    #[error("the record of version {version} does not fit the chain")]
+    /// The records' references to each other are inconsistent.
+    #[error("the record of version {version} is inconsistent with the chain")]
     Inconsistent {
         /// The version.
         version: Version,
     },
-    /// The bundles of a version do not join; the program that accepted them checks differently.
-    #[error("the bundles of version {version} do not join in this program")]
-    NotJoined {
+    /// The bundles of a version can't be joined; the program that accepted them uses different checks.
+    #[error("the bundles of version {version} can't be joined by this program")]
+    JoinFailed {
         /// The version.
         version: Version,
         /// The faults.
         #[source]
         report: CheckReport,
     },
-    /// The bundles of a version join to another snapshot than the one that was accepted.
+    /// Joining the bundles of a version results in another snapshot than the accepted one.
     #[error("the snapshot of version {version} differs from the accepted one")]
     SnapshotMismatch {
         /// The version.
--- a/crates/acceptance/src/lib.rs
+++ b/crates/acceptance/src/lib.rs
@@ -1,8 +1,8 @@
 //! Acceptance of submissions: one compare-and-swap step of the version chain.
 //!
-//! A submission is checked together with everything in force, its content is written as immutable objects named
-//! by their hash, and one compare-and-swap of the head accepts it. Until the head moves nothing has happened.
-//! A submission id stands at most once in the chain; that is what resolves lost answers and races.
+//! A submission is checked together with all active bundles, its content is written as immutable objects
+//! named by their hash, and one compare-and-swap of the head accepts it. Nothing takes effect before the head
+//! is replaced. The chain contains a submission id at most once, which resolves lost responses and races.
 
 mod acceptor;
 mod attempt;
--- a/crates/acceptance/src/objects.rs
+++ b/crates/acceptance/src/objects.rs
@@ -5,45 +5,45 @@
 use bitcode::{Decode, Encode};
 use umberpond_model::{BundleName, ContentHash, SubmissionId, Version, VersionRecord};
 
-/// Versions in one page of the chain. A record lists the versions of its own page that come before it and names
-/// the last record of the page before, so a search reads one record per page.
+/// Number of versions in one page of the chain. A record lists the earlier versions of its own page and
+/// references the last record of the previous page, so a search reads one record per page.
 pub const PAGE_VERSIONS: u64 = 64;
 
-/// Versions from one checkpoint to the next. A checkpoint holds a whole snapshot, so that reading a whole
-/// configuration takes one checkpoint and fewer than this many steps, however many bundles there are. Pages begin
-/// at a checkpoint.
+/// Number of versions from one checkpoint to the next. A checkpoint holds a full snapshot, so reading a full
+/// configuration takes one checkpoint and fewer than this many steps, regardless of the number of bundles.
+/// Every page begins at a checkpoint.
 pub const CHECKPOINT_VERSIONS: u64 = 16;
 
-/// Every bundle in force at one version and the hash of its object.
+/// Every bundle that is active at one version and the hash of its object.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Manifest {
     /// Bundles by name.
     pub bundles: BTreeMap<BundleName, ContentHash>,
 }
 
-/// What one version does.
+/// The change that one version makes.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Step {
-    /// Puts a bundle in force or replaces it.
+    /// Adds or replaces a bundle.
     Put {
         /// Name of the bundle.
         bundle: BundleName,
         /// Hash of its object.
         content: ContentHash,
     },
-    /// Withdraws a bundle.
+    /// Removes a bundle.
     Withdraw {
         /// Name of the bundle.
         bundle: BundleName,
     },
-    /// Changes nothing. The submission of this version was given up, and can't be accepted any more because
-    /// its id stands in the chain.
+    /// Changes nothing. The submission of this version was abandoned; it can't be accepted later because the
+    /// chain contains its id.
     Abandon,
 }
 
 impl Step {
-    /// Whether both ask for the same thing of the same bundle. The content is not compared: an operator who
-    /// submits again seals the secrets again, and sealed values differ each time.
+    /// Whether both make the same kind of change to the same bundle. The content is not compared: submitting
+    /// again seals the secrets again, and sealed values differ each time.
     #[must_use]
     pub fn is_same_request(&self, other: &Self) -> bool {
         match (self, other) {
@@ -53,47 +53,48 @@
     }
 }
 
-/// A version before the one whose record names it.
+/// Reference from a record to an earlier version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct EarlierVersion {
-    /// Its position.
+    /// Version number.
     pub version: Version,
-    /// Its submission.
+    /// Submission that became this version.
     pub submission: SubmissionId,
-    /// Hash of its record object.
+    /// Hash of the version's record object.
     pub record: ContentHash,
 }
 
-/// The object in which a version record is stored. Its hash is what [`umberpond_model::Head::record`] and
-/// [`VersionRecord::previous`] name.
+/// The object in which a version record is stored. [`umberpond_model::Head::record`] and
+/// [`VersionRecord::previous`] reference it by its hash.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct RecordObject {
     /// The record.
     pub record: VersionRecord,
-    /// What the version does.
+    /// The change that the version makes.
     pub step: Step,
-    /// Versions of the same page before this one, oldest first; fewer than [`PAGE_VERSIONS`].
+    /// Earlier versions of the same page, oldest first; fewer than [`PAGE_VERSIONS`].
     pub page: Vec<EarlierVersion>,
-    /// Hash of the last record of the page before; absent in the first page.
+    /// Hash of the last record of the previous page; absent in the first page.
     pub previous_page: Option<ContentHash>,
-    /// Hash of the object that holds the whole snapshot, at every version that is a multiple of
+    /// Hash of the object that holds the full snapshot; present if the version is a multiple of
     /// [`CHECKPOINT_VERSIONS`].
     pub checkpoint: Option<ContentHash>,
 }
 
-/// Whether the record of `version` names a checkpoint.
+/// Whether the record of `version` references a checkpoint.
 pub(crate) const fn has_checkpoint(version: Version) -> bool {
     version.0.is_multiple_of(CHECKPOINT_VERSIONS)
 }
 
 impl RecordObject {
-    /// The version of this record, as later records name it.
+    /// Returns the reference to this record that later records of its page contain.
     #[must_use]
     pub const fn as_earlier(&self, hash: ContentHash) -> EarlierVersion {
         EarlierVersion { version: self.record.version, submission: self.record.submission, record: hash }
     }
 
-    /// The page and the previous page of the record that follows this one, whose hash is `hash`.
+    /// Returns `page` and `previous_page` of the record that follows this one. `hash` is the hash of this
+    /// record.
     #[must_use]
     pub fn next_page(&self, hash: ContentHash) -> (Vec<EarlierVersion>, Option<ContentHash>) {
         let next = self.record.version.next();
--- a/crates/acceptance/src/prepare.rs
+++ b/crates/acceptance/src/prepare.rs
@@ -1,4 +1,4 @@
-//! The next version, worked out without any input or output.
+//! Computes the next version without any I/O.
 
 use std::sync::Arc;
 
@@ -11,7 +11,7 @@
 use crate::objects::has_checkpoint;
 use crate::{RecordObject, Step};
 
-/// What a submission asks for, with its content encoded once.
+/// The request of a submission, with its content encoded once.
 #[derive(Debug, Clone)]
 pub(crate) enum Request {
     Put { name: BundleName, bundle: Arc<Bundle>, bytes: Bytes, hash: ContentHash },
@@ -26,7 +26,7 @@
         Self::Put { name, bundle: Arc::new(bundle), bytes, hash }
     }
 
-    /// The step that the record of the accepted version names.
+    /// Returns the step for the record of the accepted version.
     pub(crate) fn step(&self) -> Step {
         match self {
             Self::Put { name, hash, .. } => Step::Put { bundle: name.clone(), content: *hash },
@@ -36,65 +36,61 @@
     }
 }
 
-/// Why there is no next version.
+/// Why the next version can't be computed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum PrepareError {
     Faulty(CheckReport),
     NotInForce { bundle: BundleName, version: Version },
 }
 
-/// The next version, ready to be written.
+/// The encoded next version, ready to be written.
 #[derive(Debug, Clone)]
 pub(crate) struct Prepared {
-    /// Content objects by name, each encoded.
+    /// Encoded content objects with their names.
     pub(crate) objects: Vec<(ContentHash, Bytes)>,
     /// Bytes of the new head.
     pub(crate) head: Bytes,
-    /// The version as the base of the one after it.
+    /// The new version as the base of its successor.
     pub(crate) base: Arc<Base>,
     pub(crate) record: VersionRecord,
 }
 
-/// Facts of one try that come from outside.
-pub(crate) struct Circumstances {
+/// Inputs of one attempt that depend on neither the base nor the request.
+pub(crate) struct AttemptInfo {
     pub(crate) submission: SubmissionId,
     pub(crate) unix_millis: u64,
 }
 
-/// Works out the version after `base`.
-pub(crate) fn prepare(
-    base: &Base,
-    request: &Request,
-    circumstances: Circumstances,
-) -> Result<Prepared, PrepareError> {
-    let mut next = changed(base, request)?;
+/// Computes the version after `base`.
+pub(crate) fn prepare(base: &Base, request: &Request, info: AttemptInfo) -> Result<Prepared, PrepareError> {
+    let mut next = apply_request(base, request)?;
     let mut objects = Vec::new();
     if let Request::Put { bytes, hash, .. } = request {
         objects.push((*hash, bytes.clone()));
     }
-    let manifest = add(&mut objects, encode(&next.manifest));
+    let manifest = add_object(&mut objects, encode(&next.manifest));
     let delta = Delta::between(&base.snapshot, &next.snapshot);
-    let delta = add(&mut objects, Bytes::from(delta.to_bytes()));
+    let delta = add_object(&mut objects, Bytes::from(delta.to_bytes()));
     let record = VersionRecord {
         version: base.version().next(),
         previous: base.record.as_ref().map(|(hash, _)| *hash),
-        submission: circumstances.submission,
+        submission: info.submission,
         manifest,
         delta,
         snapshot: next.snapshot.content_hash(),
-        accepted_at_unix_millis: circumstances.unix_millis,
+        accepted_at_unix_millis: info.unix_millis,
     };
-    let checkpoint =
-        has_checkpoint(record.version).then(|| add(&mut objects, Bytes::from(next.snapshot.to_bytes())));
+    let checkpoint = has_checkpoint(record.version)
+        .then(|| add_object(&mut objects, Bytes::from(next.snapshot.to_bytes())));
     let object = record_object(base, record.clone(), request.step(), checkpoint);
-    let hash = add(&mut objects, encode(&object));
+    let hash = add_object(&mut objects, encode(&object));
     let head = encode(&Head { version: record.version, record: hash });
     next.record = Some((hash, Arc::new(object)));
     Ok(Prepared { objects, head, base: Arc::new(next), record })
 }
 
-/// The bundles, manifest and snapshot after the change; the record is still that of the base.
-fn changed(base: &Base, request: &Request) -> Result<Base, PrepareError> {
+/// Returns the base with the changed bundles, manifest and snapshot; the record is still that of `base`.
+fn apply_request(base: &Base, request: &Request) -> Result<Base, PrepareError> {
     let mut next = base.clone();
     match request {
         Request::Put { name, bundle, hash, .. } => {
@@ -125,7 +121,7 @@
     RecordObject { record, step, page, previous_page, checkpoint }
 }
 
-fn add(objects: &mut Vec<(ContentHash, Bytes)>, bytes: Bytes) -> ContentHash {
+fn add_object(objects: &mut Vec<(ContentHash, Bytes)>, bytes: Bytes) -> ContentHash {
     let hash = ContentHash::of(&bytes);
     objects.push((hash, bytes));
     hash
--- a/crates/acceptance/src/shared.rs
+++ b/crates/acceptance/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the submissions of one node share.
+//! State and settings shared by the submissions of one node.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,7 +11,8 @@
 use crate::base::BaseCache;
 use crate::chain::ChainReader;
 
-/// Wall-clock time in milliseconds since the Unix epoch. Written into records for people; decides nothing.
+/// Wall-clock time in milliseconds since the Unix epoch. Only stored in records for information; no decision
+/// depends on it.
 pub type UnixClock = Arc<dyn Fn() -> u64 + Send + Sync>;
 
 /// Limits of an acceptor.
@@ -19,13 +20,13 @@
 pub struct AcceptorSettings {
     /// Longest time for one submission.
     pub deadline: Duration,
-    /// Rounds that a submission may lose to others.
+    /// Number of rounds that a submission may lose to others before it is refused.
     pub max_tries: u32,
-    /// Submissions under way at once on this node; more are refused at once.
+    /// Concurrent submissions on this node; further ones are refused immediately.
     pub max_concurrent: usize,
     /// Largest encoded bundle, in bytes.
     pub max_bundle_bytes: usize,
-    /// Waits between rounds.
+    /// Delays between rounds.
     pub backoff: BackoffSettings,
 }
 
@@ -41,12 +42,12 @@
     }
 }
 
-/// What the submissions of one node share.
+/// State shared by the submissions of one node.
 pub(crate) struct Shared {
     pub(crate) chain: ChainReader,
     pub(crate) unix_millis: UnixClock,
     pub(crate) settings: AcceptorSettings,
     pub(crate) rng: Mutex<ChaCha8Rng>,
     pub(crate) bases: BaseCache,
-    pub(crate) places: Semaphore,
+    pub(crate) permits: Semaphore,
 }
--- a/crates/acceptance/src/submission.rs
+++ b/crates/acceptance/src/submission.rs
@@ -1,4 +1,4 @@
-//! Submissions and their answers.
+//! Submissions and their results.
 
 use std::time::Duration;
 
@@ -8,16 +8,16 @@
 
 use crate::ChainError;
 
-/// What a submission does with the bundle that it names.
+/// The change that a submission makes to a bundle.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
-    /// Puts the bundle in force, in place of one of the same name.
+    /// Adds the bundle or replaces the one of the same name.
     Put(Bundle),
-    /// Withdraws the bundle.
+    /// Removes the bundle.
     Withdraw,
 }
 
-/// A submission that stands in the chain.
+/// A submission that the chain contains.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Accepted {
     /// The version that it became.
@@ -29,28 +29,28 @@
 /// A version that was accepted while this submission was being checked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Winner {
-    /// Its position.
+    /// Version number.
     pub version: Version,
-    /// Its submission.
+    /// Submission that became this version.
     pub submission: SubmissionId,
 }
 
 /// Why nothing was accepted.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum NotAcceptedReason {
-    /// The platform did not answer in time, and the head was surely not moved.
-    #[error("the platform did not answer in time")]
+    /// The platform did not respond in time, and the head was certainly not replaced.
+    #[error("the platform did not respond in time")]
     PlatformUnavailable,
-    /// Other submissions won each try.
-    #[error("other submissions won every one of {tries} tries")]
+    /// Other submissions were accepted first in every attempt.
+    #[error("other submissions were accepted first in each of {tries} attempts")]
     Contention {
-        /// Tries made.
+        /// Number of attempts.
         tries: u32,
     },
-    /// This node handles as many submissions as it may.
-    #[error("this node handles as many submissions as it may")]
+    /// This node has reached its limit on concurrent submissions.
+    #[error("this node has reached its limit on concurrent submissions")]
     Busy,
-    /// The bundle is over the size limit.
+    /// The bundle exceeds the size limit.
     #[error("the bundle is {bytes} bytes long; at most {limit} are allowed")]
     TooLarge {
         /// Size of the bundle, in bytes.
@@ -63,25 +63,25 @@
     Chain(#[source] ChainError),
 }
 
-/// A submission that this call did not get accepted.
+/// Why a call did not get its submission accepted.
 ///
-/// All variants but [`Self::Unknown`] speak of the tries of this call: none of them moved the head, and none can
-/// still arrive. If an earlier call with the same id ended in `Unknown`, that call may yet succeed until the id
-/// stands in the chain; see [`Resolution`].
+/// All variants except [`Self::Unknown`] concern the attempts of this call only: none of them replaced the
+/// head, and none can still take effect. If an earlier call with the same id returned `Unknown`, that call
+/// may still succeed until the chain contains the id; see [`Resolution`].
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum SubmitError {
-    /// The bundles in force and this one do not join.
+    /// This bundle can't be joined with the active bundles.
     #[error("the configuration would be faulty")]
     Invalid(#[source] CheckReport),
-    /// The bundle to withdraw is not in force.
+    /// The bundle to withdraw is not active.
     #[error("the bundle `{bundle}` is not in force at version {version}")]
     NotInForce {
         /// The bundle.
         bundle: BundleName,
-        /// The version looked at.
+        /// The version that was checked.
         version: Version,
     },
-    /// The submission passed the check, another was accepted first, and together with it this one is faulty.
+    /// The submission passed the check, but another one was accepted first and makes this one faulty.
     #[error("version {} was accepted first, and with it the configuration would be faulty", winner.version)]
     Conflict {
         /// The newest version accepted since this submission passed the check.
@@ -90,10 +90,10 @@
         #[source]
         report: CheckReport,
     },
-    /// The id stands in the chain for another bundle, or for putting where this one withdraws, or the reverse.
+    /// The chain contains the id for another bundle or for the other kind of change.
     #[error("the submission id was used before, for version {version}")]
     IdReused {
-        /// The version that has the id.
+        /// The version accepted under this id.
         version: Version,
     },
     /// The submission was abandoned.
@@ -107,30 +107,30 @@
     NotAccepted {
         /// Why.
         reason: NotAcceptedReason,
-        /// When to try again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
-    /// The head may have been moved by this submission, or may yet be. Resolve it by its id.
+    /// This submission may have replaced the head, or may still do so. Resolve it by its id.
     #[error("the outcome of submission {submission} is unknown")]
     Unknown {
-        /// The id to ask with.
+        /// The id with which the outcome can be resolved.
         submission: SubmissionId,
     },
 }
 
-/// What the chain says about a submission.
+/// State of a submission according to the chain.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Resolution {
-    /// It is accepted as this version.
+    /// It was accepted as this version.
     Accepted(Version),
-    /// It is not accepted and never will be: it was abandoned at this version.
+    /// It was abandoned at this version and can't be accepted any more.
     NotAccepted(Version),
-    /// It does not stand in the chain (or the chain can't be read now). A try may still be on its way, from
-    /// whatever node it was given to. Submit again with the same id, or abandon it: both settle it.
+    /// The chain does not contain it, or can't be read now. An attempt of any node may still be in flight.
+    /// Submitting again with the same id or abandoning the submission determines the outcome.
     Unknown,
 }
 
-/// Outcome of abandoning a submission.
+/// Result of abandoning a submission.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Abandonment {
     /// The submission can't be accepted any more.
@@ -139,22 +139,22 @@
     AlreadyAccepted(Version),
 }
 
-/// An abandonment that failed. It says nothing of the submission, which may be accepted or may yet be; ask again
-/// with the same id.
+/// A failed abandonment. It implies nothing about the submission, which may have been accepted or may still
+/// be; retry with the same id.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum AbandonError {
-    /// The abandonment is not in the chain, and nothing will come of this call.
+    /// The chain does not contain the abandonment, and this call can't add it later.
     #[error("not abandoned: {reason}")]
     NotAbandoned {
         /// Why.
         reason: NotAcceptedReason,
-        /// When to try again.
+        /// Delay before the next attempt.
         retry_after: Duration,
     },
-    /// The abandonment may be in the chain, or may yet be.
+    /// The chain may contain the abandonment, now or later.
     #[error("whether submission {submission} is abandoned is unknown")]
     Unknown {
-        /// The id to ask with.
+        /// The id with which the outcome can be resolved.
         submission: SubmissionId,
     },
 }
--- a/crates/acceptance/src/swap.rs
+++ b/crates/acceptance/src/swap.rs
@@ -1,4 +1,4 @@
-//! Writing a prepared version: content objects first, then the head.
+//! Writes a prepared version: content objects first, then the head.
 
 use bytes::Bytes;
 use umberpond_model::ContentHash;
@@ -6,17 +6,18 @@
 
 use crate::chain::HEAD_NAME;
 
-/// Tries to write one content object against a collection or another acceptor that changes it meanwhile.
+/// Number of attempts to write one content object while a collection or another acceptor changes it
+/// concurrently.
 const CONTENT_TRIES: usize = 3;
 
-/// Writes a content object so that it is younger than the head that stood at `base`.
+/// Writes a content object so that its version is later than `base`, the version of the head object.
 ///
-/// An object that exists already may be about to be collected. Collection never deletes an object whose version
-/// is later than a head that it has read, and deletes under a condition; so an older object is rewritten with
-/// the same bytes, which gives it a later version.
+/// An object that exists already may be about to be garbage-collected. The collection never deletes an object
+/// whose version is later than the head that it has read, and its deletes are conditional on the version. So
+/// an older object is rewritten with the same bytes, which gives it a later version.
 ///
 /// # Errors
-/// Returns [`PlatformError::Conflict`] if others changed the object during every try.
+/// Returns [`PlatformError::Conflict`] if other processes changed the object during every attempt.
 pub(crate) async fn write_content(
     store: &dyn ObjectStore,
     hash: ContentHash,
@@ -25,37 +26,37 @@
 ) -> Result<(), PlatformError> {
     let name = hash.to_string();
     for _ in 0..CONTENT_TRIES {
-        let standing = match store.create(ObjectKind::Content, &name, bytes.clone()).await {
-            Err(PlatformError::Conflict { standing }) => standing,
+        let current = match store.create(ObjectKind::Content, &name, bytes.clone()).await {
+            Err(PlatformError::Conflict { current }) => current,
             other => return other.map(drop),
         };
-        let Some(standing) = standing_version(store, &name, standing).await? else {
+        let Some(current) = current_version(store, &name, current).await? else {
             continue;
         };
-        if Some(standing) > base {
+        if Some(current) > base {
             return Ok(());
         }
-        match store.put_if(ObjectKind::Content, &name, standing, bytes.clone()).await {
+        match store.put_if(ObjectKind::Content, &name, current, bytes.clone()).await {
             Err(PlatformError::NotFound | PlatformError::Conflict { .. }) => {}
             other => return other.map(drop),
         }
     }
-    Err(PlatformError::Conflict { standing: None })
+    Err(PlatformError::Conflict { current: None })
 }
 
-/// The version told with a conflict, or else read; `None` if the object is gone by then.
-async fn standing_version(
+/// Returns the version from the conflict response, or reads it; `None` if the object no longer exists.
+async fn current_version(
     store: &dyn ObjectStore,
     name: &str,
-    told: Option<ObjectVersion>,
+    reported: Option<ObjectVersion>,
 ) -> Result<Option<ObjectVersion>, PlatformError> {
-    if told.is_some() {
-        return Ok(told);
+    if reported.is_some() {
+        return Ok(reported);
     }
     Ok(store.get(ObjectKind::Content, name).await?.map(|object| object.version))
 }
 
-/// Moves the head from `expected` (absent: there is no head yet) by one compare-and-swap.
+/// Replaces the head at version `expected` with one compare-and-swap; creates it if `expected` is absent.
 pub(crate) async fn swap_head(
     store: &dyn ObjectStore,
     expected: Option<ObjectVersion>,
--- a/crates/acceptance/tests/acceptance.rs
+++ b/crates/acceptance/tests/acceptance.rs
@@ -1,4 +1,5 @@
-//! Acceptance under single faults: lost answers, late requests, races, outages and unknown schemas.
+//! Tests of acceptance under single faults: lost responses, delayed requests, races, outages and unknown
+//! schemas.
 
 mod support;
 
@@ -21,10 +22,10 @@
 const ID: SubmissionId = SubmissionId(7);
 
 #[tokio::test(start_paused = true)]
-async fn a_lost_answer_after_the_effect_is_one_version() {
+async fn a_lost_response_never_creates_a_second_version() {
     for platform in [MemoryPlatform::new(), platform_with_mesh().await] {
         let store = platform.client();
-        store.set_faults(first_swap(Fault::LostAnswer));
+        store.set_faults(first_swap(Fault::LostResponse));
         let version = put(&acceptor(store, 1), ID.0, "mesh", mesh()).await;
         let chain = read_chain(&reader(&platform)).await;
         assert_eq!(chain.len() as u64, version);
@@ -33,29 +34,29 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_same_submission_again_is_the_same_version_and_another_request_is_refused() {
+async fn a_repeated_submission_returns_its_version_and_a_reused_id_is_refused() {
     let platform = platform_with_mesh().await;
     let first = put(&acceptor(platform.client(), 1), ID.0, "billing", service("billing", 4)).await;
     put(&acceptor(platform.client(), 2), 8, "solver", service("solver", 4)).await;
     let other_node = acceptor(platform.client(), 3);
     assert_eq!(put(&other_node, ID.0, "billing", service("billing", 4)).await, first);
-    // Secrets are sealed anew for each try, so the bytes of the same submission differ.
+    // Each attempt seals the secrets again, so the bytes of the same submission differ.
     assert_eq!(put(&other_node, ID.0, "billing", service("billing", 5)).await, first);
     let others = [("solver", Change::Put(service("billing", 4))), ("billing", Change::Withdraw)];
     for (bundle, change) in others {
-        let answer = other_node.submit(ID, name(bundle), change).await;
-        assert_eq!(answer, Err(SubmitError::IdReused { version: Version(first) }));
+        let result = other_node.submit(ID, name(bundle), change).await;
+        assert_eq!(result, Err(SubmitError::IdReused { version: Version(first) }));
     }
     assert_eq!(other_node.resolve(ID).await, Resolution::Accepted(Version(first)));
     assert_eq!(read_chain(&reader(&platform)).await.len(), 3);
 }
 
-/// The first swap of the submission is held up in the network, and the platform is then out of reach.
-async fn with_delayed_swap() -> MemoryPlatform {
+/// Delays the first swap of a submission in the network; the platform is unreachable afterwards.
+async fn platform_with_delayed_swap() -> MemoryPlatform {
     let platform = platform_with_mesh().await;
     let store = platform.client();
     let mut delayed = false;
-    store.set_faults(move |note| match (delayed, is_swap(note)) {
+    store.set_faults(move |info| match (delayed, is_swap(info)) {
         (true, _) => Fault::NotSent,
         (false, true) => {
             delayed = true;
@@ -64,14 +65,14 @@
         (false, false) => Fault::None,
     });
     let change = Change::Put(service("billing", 4));
-    let answer = acceptor(store, 1).submit(ID, name("billing"), change).await;
-    assert_eq!(answer, Err(SubmitError::Unknown { submission: ID }));
+    let result = acceptor(store, 1).submit(ID, name("billing"), change).await;
+    assert_eq!(result, Err(SubmitError::Unknown { submission: ID }));
     platform
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_swap_that_may_still_arrive_is_unknown_until_it_does() {
-    let platform = with_delayed_swap().await;
+async fn a_swap_in_flight_is_never_reported_as_not_accepted() {
+    let platform = platform_with_delayed_swap().await;
     let other = acceptor(platform.client(), 2);
     assert_eq!(other.resolve(ID).await, Resolution::Unknown);
     assert_eq!(platform.release_delayed(), 1);
@@ -79,8 +80,8 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_swap_that_arrives_after_the_same_submission_again_changes_nothing() {
-    let platform = with_delayed_swap().await;
+async fn a_delayed_swap_that_arrives_after_a_retry_changes_nothing() {
+    let platform = platform_with_delayed_swap().await;
     let other = acceptor(platform.client(), 2);
     assert_eq!(put(&other, ID.0, "billing", service("billing", 4)).await, 2);
     assert_eq!(platform.release_delayed(), 0);
@@ -89,7 +90,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn an_abandoned_submission_never_becomes_a_version() {
-    let platform = with_delayed_swap().await;
+    let platform = platform_with_delayed_swap().await;
     let other = acceptor(platform.client(), 2);
     assert_eq!(other.abandon(ID).await, Ok(Abandonment::Abandoned(Version(2))));
     assert_eq!(platform.release_delayed(), 0);
@@ -100,7 +101,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn ten_operators_get_one_order() {
+async fn concurrent_submissions_never_share_or_lose_a_version() {
     for same_bundle in [false, true] {
         let platform = platform_with_mesh().await;
         let operators = (0..10_u32).map(|number| {
@@ -118,11 +119,11 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_loser_that_the_winner_makes_faulty_is_told_both() {
+async fn a_conflict_reports_the_winning_version_and_the_fault_location() {
     let platform = platform_with_mesh().await;
     put(&acceptor(platform.client(), 1), 2, "billing", service("billing", 4)).await;
     let slow = platform.client();
-    slow.set_faults(|note| Fault::Slow(Duration::from_millis(if is_swap(note) { 100 } else { 1 })));
+    slow.set_faults(|info| Fault::Slow(Duration::from_millis(if is_swap(info) { 100 } else { 1 })));
     let loser = acceptor(slow, 2);
     let referring = loser.submit(ID, name("bills"), Change::Put(route("bills", "billing")));
     let winner = acceptor(platform.client(), 3);
@@ -138,66 +139,66 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_withdrawal_that_breaks_a_reference_is_refused_and_changes_nothing() {
+async fn a_withdrawal_that_breaks_a_reference_changes_nothing() {
     let platform = platform_with_mesh().await;
     let acceptor = acceptor(platform.client(), 1);
     put(&acceptor, 2, "pages", route("pages", "archive")).await;
-    let answer = acceptor.submit(ID, name("mesh"), Change::Withdraw).await;
-    let Err(SubmitError::Invalid(report)) = answer else { panic!("not refused: {answer:?}") };
+    let result = acceptor.submit(ID, name("mesh"), Change::Withdraw).await;
+    let Err(SubmitError::Invalid(report)) = result else { panic!("not refused: {result:?}") };
     assert!(report.faults.iter().any(|fault| fault.bundle == Some(name("pages"))));
-    let answer = acceptor.submit(ID, name("nothing"), Change::Withdraw).await;
+    let result = acceptor.submit(ID, name("nothing"), Change::Withdraw).await;
     let version = Version(2);
-    assert_eq!(answer, Err(SubmitError::NotInForce { bundle: name("nothing"), version }));
+    assert_eq!(result, Err(SubmitError::NotInForce { bundle: name("nothing"), version }));
     assert_eq!(read_chain(&reader(&platform)).await.len(), 2);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_swap_sent_again_that_surely_failed_does_not_settle_the_first() {
+async fn a_resent_swap_that_failed_does_not_decide_the_outcome_of_the_first() {
     let platform = platform_with_mesh().await;
     let store = platform.client();
     let mut swaps = 0;
-    store.set_faults(move |note| {
-        swaps += usize::from(is_swap(note));
-        match (is_swap(note), swaps) {
+    store.set_faults(move |info| {
+        swaps += usize::from(is_swap(info));
+        match (is_swap(info), swaps) {
             (true, 1) => Fault::Delayed,
             (true, _) => Fault::NotSent,
             (false, _) => Fault::None,
         }
     });
     let change = Change::Put(service("billing", 4));
-    let answer = acceptor(store, 1).submit(ID, name("billing"), change).await;
-    assert_eq!(answer, Err(SubmitError::Unknown { submission: ID }));
+    let result = acceptor(store, 1).submit(ID, name("billing"), change).await;
+    assert_eq!(result, Err(SubmitError::Unknown { submission: ID }));
     assert_eq!(platform.release_delayed(), 1);
 }
 
-/// The platform goes away at each request in turn, in three ways. Whatever the operator is told then is true,
-/// and the same submission succeeds afterwards.
+/// The platform becomes unreachable at each request in turn, in three ways. Guards against a result that
+/// contradicts the chain, and against a submission that can't be repeated afterwards.
 #[tokio::test(start_paused = true)]
-async fn an_outage_at_every_request_leaves_nothing_half_accepted() {
+async fn an_outage_at_any_request_never_leaves_a_partial_acceptance() {
     for (outage, swap_may_land) in
-        [(Fault::NotSent, false), (Fault::LostRequest, true), (Fault::LostAnswer, true)]
+        [(Fault::NotSent, false), (Fault::LostRequest, true), (Fault::LostResponse, true)]
     {
         for index in 0..12 {
             let platform = platform_with_mesh().await;
             let store = platform.client();
-            store.set_faults(move |note| match note.index {
+            store.set_faults(move |info| match info.index {
                 earlier if earlier < index => Fault::None,
                 first if first == index => outage,
                 _ => Fault::NotSent,
             });
             let started = tokio::time::Instant::now();
             let change = || Change::Put(service("billing", 4));
-            let answer = acceptor(store, index).submit(ID, name("billing"), change()).await;
+            let result = acceptor(store, index).submit(ID, name("billing"), change()).await;
             assert!(started.elapsed() <= AcceptorSettings::default().deadline);
-            let landed = read_chain(&reader(&platform)).await.len() == 2;
-            match answer {
-                Ok(accepted) => assert!(landed && accepted.version == Version(2)),
+            let committed = read_chain(&reader(&platform)).await.len() == 2;
+            match result {
+                Ok(accepted) => assert!(committed && accepted.version == Version(2)),
                 Err(SubmitError::NotAccepted { reason, .. }) => {
                     assert_eq!(reason, NotAcceptedReason::PlatformUnavailable);
-                    assert!(!landed);
+                    assert!(!committed);
                 }
                 Err(SubmitError::Unknown { submission }) => assert!(swap_may_land && submission == ID),
-                other => panic!("unexpected answer {other:?}"),
+                other => panic!("unexpected result {other:?}"),
             }
             assert_eq!(
                 put(&acceptor(platform.client(), 99), ID.0, "billing", service("billing", 4)).await,
@@ -209,20 +210,20 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unknown_schema_is_named_and_changes_nothing() {
+async fn an_unknown_schema_is_reported_and_never_overwritten() {
     let platform = platform_with_mesh().await;
     let newer = [9, 1, 2, 3];
     platform.overwrite(ObjectKind::Head, "head", newer.to_vec().into());
     let before = platform.objects(ObjectKind::Head);
-    let answer = acceptor(platform.client(), 1).submit(ID, name("mesh"), Change::Withdraw).await;
-    let Err(SubmitError::NotAccepted { reason, .. }) = answer else { panic!("not refused: {answer:?}") };
+    let result = acceptor(platform.client(), 1).submit(ID, name("mesh"), Change::Withdraw).await;
+    let Err(SubmitError::NotAccepted { reason, .. }) = result else { panic!("not refused: {result:?}") };
     let unknown = DecodeError::UnknownSchema { found: 9 };
     assert_eq!(reason, NotAcceptedReason::Chain(ChainError::Head(unknown)));
     assert_eq!(platform.objects(ObjectKind::Head), before);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_node_with_too_many_submissions_refuses_at_once() {
+async fn submissions_over_the_concurrency_limit_are_refused_immediately() {
     let platform = platform_with_mesh().await;
     let store = platform.client();
     store.set_faults(|_| Fault::Slow(Duration::from_millis(5)));
--- a/crates/acceptance/tests/cost.rs
+++ b/crates/acceptance/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What an acceptance costs the platform, counted. Run with `--nocapture` for the figures.
+//! Counts the platform requests of an acceptance. Run with `--nocapture` to print the figures.
 
 mod support;
 
@@ -9,8 +9,8 @@
 use umberpond_acceptance::chain::ChainReader;
 use umberpond_store::memory::MemoryPlatform;
 
-/// Versions with that many bundles in force, one service in each.
-async fn grown(bundles: u32) -> MemoryPlatform {
+/// A platform with `bundles` active bundles, one service in each.
+async fn platform_with_bundles(bundles: u32) -> MemoryPlatform {
     let platform = platform_with_mesh().await;
     let acceptor = acceptor(platform.client(), 1);
     for number in 1..bundles {
@@ -23,7 +23,7 @@
 #[tokio::test(start_paused = true)]
 async fn an_acceptance_costs_a_bounded_number_of_requests() {
     for bundles in [1, 50, 420] {
-        let platform = grown(bundles).await;
+        let platform = platform_with_bundles(bundles).await;
         let store = platform.client();
         let acceptor = acceptor(store.clone(), 2);
         put(&acceptor, 10_000, "extra", service("extra", 1)).await;
@@ -41,18 +41,18 @@
         );
         let cold = platform.client();
         let chain = ChainReader::new(Arc::new(cold.clone()));
-        let head = chain.read_head().await.expect("reads").expect("stands").head;
-        chain.read_whole(head.record).await.expect("reads");
+        let head = chain.read_head().await.expect("the head can be read").expect("the head exists").head;
+        chain.read_whole(head.record).await.expect("the configuration can be read");
         println!(
-            "the whole: {} requests, {} bytes read",
+            "the full configuration: {} requests, {} bytes read",
             cold.counters().total(),
             cold.counters().bytes_read
         );
-        // The head, the checkpoint, and a record and a delta for each of fewer than 16 steps.
+        // The head, the checkpoint, and one record and one delta for each of fewer than 16 steps.
         assert!(cold.counters().total() <= 2 + 2 * CHECKPOINT_VERSIONS);
-        // The head, four content objects and the swap; the search needs no record that is not cached.
+        // The head, four content objects and the swap; the search only reads cached records.
         assert_eq!(requests, 6);
-        // The head, the record, the manifest, its bundles, a record per page, and the six above.
+        // The head, the record, the manifest, its bundles, one record per page, and the six requests above.
         assert!(first.total() <= u64::from(bundles) + 2 + u64::from(bundles) / 64 + 2 + 6);
     }
 }
--- a/crates/acceptance/tests/over_http.rs
+++ b/crates/acceptance/tests/over_http.rs
@@ -1,4 +1,5 @@
-//! Acceptance through the platform's client, over loopback, against the platform's stand-in.
+//! Tests of acceptance over HTTP: the platform client against the simulated platform on the loopback
+//! interface.
 
 mod support;
 
@@ -12,10 +13,10 @@
 use umberpond_standins::platform::{FaultChange, Platform};
 use umberpond_store::{ClientSettings, GateLimits, PlatformClient, PlatformGate};
 
-/// Each submission loses the answers of one more of its changes than the one before: of none, of one content
-/// object, of all four, and then of the swap as well.
+/// Each submission loses the response of one more write than the one before: none, one content object, up to
+/// all four, and then the swap as well. Guards against a second version for a retried write.
 #[tokio::test]
-async fn lost_answers_over_http_are_one_version_each() {
+async fn lost_responses_over_http_never_create_a_second_version() {
     let network: Arc<dyn Network> = Arc::new(TcpNetwork);
     let platform = Platform::start(&*network, ([127, 0, 0, 1], 0).into()).await.expect("listens");
     let gate = PlatformGate::new(GateLimits::default());
--- a/crates/acceptance/tests/schedules.rs
+++ b/crates/acceptance/tests/schedules.rs
@@ -1,4 +1,4 @@
-//! Random schedules of operators and faults, and the checker of their histories.
+//! Property test with random schedules of operators and faults, and tests of the history checker.
 
 mod support;
 
@@ -6,17 +6,17 @@
 
 use futures_util::future::join_all;
 use quickcheck::{Arbitrary, Gen, QuickCheck, TestResult};
-use support::history::{Answer, History, Link, Violation, check, read_chain};
+use support::history::{History, Link, Outcome, Violation, check, read_chain};
 use support::{acceptor, is_swap, name, platform_with_mesh, reader, service};
 use tokio::time::Instant;
 use umberpond_acceptance::{AbandonError, Abandonment, Change, SubmitError};
 use umberpond_model::{ContentHash, SubmissionId, Version};
-use umberpond_store::memory::{Fault, MemoryPlatform, MemoryStore, RequestNote};
+use umberpond_store::memory::{Fault, MemoryPlatform, MemoryStore, RequestInfo};
 
 const SCHEDULES: u64 = 400;
 const SEED: u64 = 20_261_202;
 
-/// What an operator does when told "unknown".
+/// What an operator does after an unknown outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Next {
     Nothing,
@@ -30,16 +30,16 @@
     bundle: u8,
     withdraws: bool,
     next: Next,
-    /// Faults of the swaps of the head, in turn.
+    /// Faults of the swaps of the head, in order.
     swaps: Vec<u8>,
-    /// Faults of all other requests, in turn.
+    /// Faults of all other requests, in order.
     others: Vec<u8>,
 }
 
 #[derive(Debug, Clone)]
 struct Schedule {
     operators: Vec<Operator>,
-    /// When delayed requests arrive.
+    /// Intervals after which delayed requests arrive.
     arrivals_millis: Vec<u64>,
 }
 
@@ -77,26 +77,26 @@
     }
 }
 
-/// The faults that one operator's requests meet.
+/// The fault plan of one operator's requests.
 struct Faults {
     id: u64,
     swaps: std::vec::IntoIter<u8>,
     others: std::vec::IntoIter<u8>,
-    /// Until when the platform is out of the operator's reach.
+    /// The platform is unreachable for the operator until this time.
     down_until: Instant,
 }
 
 impl Faults {
-    fn meet(&mut self, note: &RequestNote) -> Fault {
+    fn meet(&mut self, info: &RequestInfo) -> Fault {
         let now = Instant::now();
         if now < self.down_until {
             return Fault::NotSent;
         }
-        // Every request takes some time, so that operators interleave.
-        let slow = Fault::Slow(Duration::from_millis(1 + (self.id * 7 + note.index * 3) % 17));
-        if !is_swap(note) {
+        // Every request takes some time, so that the operators' requests interleave.
+        let slow = Fault::Slow(Duration::from_millis(1 + (self.id * 7 + info.index * 3) % 17));
+        if !is_swap(info) {
             return match self.others.next().unwrap_or(u8::MAX) % 16 {
-                0 => Fault::LostAnswer,
+                0 => Fault::LostResponse,
                 1 => Fault::LostRequest,
                 2 => Fault::Refused { retry_after: Some(Duration::from_secs(1)) },
                 _ => slow,
@@ -108,7 +108,7 @@
         }
         match byte % 8 {
             0 | 1 => Fault::Delayed,
-            2 | 3 => Fault::LostAnswer,
+            2 | 3 => Fault::LostResponse,
             4 => Fault::LostRequest,
             5 => Fault::NotSent,
             6 => Fault::Slow(OUTAGE),
@@ -120,30 +120,30 @@
 /// Longer than the deadline of a submission.
 const OUTAGE: Duration = Duration::from_secs(11);
 
-fn answer(result: Result<Version, SubmitError>) -> Answer {
+fn submission_outcome(result: Result<Version, SubmitError>) -> Outcome {
     match result {
-        Ok(version) => Answer::Accepted(version),
-        Err(SubmitError::Abandoned { version }) => Answer::Abandoned(version),
-        Err(SubmitError::Unknown { .. }) => Answer::Unknown,
-        Err(_) => Answer::Refused,
+        Ok(version) => Outcome::Accepted(version),
+        Err(SubmitError::Abandoned { version }) => Outcome::Abandoned(version),
+        Err(SubmitError::Unknown { .. }) => Outcome::Unknown,
+        Err(_) => Outcome::Refused,
     }
 }
 
-fn abandonment(result: Result<Abandonment, AbandonError>) -> Answer {
+fn abandonment_outcome(result: Result<Abandonment, AbandonError>) -> Outcome {
     match result {
-        Ok(Abandonment::Abandoned(version)) => Answer::Abandoned(version),
-        Ok(Abandonment::AlreadyAccepted(version)) => Answer::Accepted(version),
-        // An abandonment that failed says nothing about the submission.
-        Err(_) => Answer::Unknown,
+        Ok(Abandonment::Abandoned(version)) => Outcome::Abandoned(version),
+        Ok(Abandonment::AlreadyAccepted(version)) => Outcome::Accepted(version),
+        // A failed abandonment implies nothing about the submission.
+        Err(_) => Outcome::Unknown,
     }
 }
 
-async fn operate(store: MemoryStore, id: u64, operator: Operator) -> Vec<(SubmissionId, Answer)> {
+async fn run_operator(store: MemoryStore, id: u64, operator: Operator) -> Vec<(SubmissionId, Outcome)> {
     tokio::time::sleep(Duration::from_millis(operator.starts_after_millis)).await;
     let swaps = operator.swaps.clone().into_iter();
     let others = operator.others.clone().into_iter();
     let mut faults = Faults { id, swaps, others, down_until: Instant::now() };
-    store.set_faults(move |note| faults.meet(note));
+    store.set_faults(move |info| faults.meet(info));
     let submission = SubmissionId(id.into());
     let bundle = format!("bundle-{}", operator.bundle);
     let slots = u32::try_from(id).expect("small") + 1;
@@ -153,22 +153,24 @@
     };
     let acceptor_of = |seed| acceptor(store.clone(), seed);
     let submit = async |seed| {
-        let answered = acceptor_of(seed).submit(submission, name(&bundle), change.clone()).await;
-        answer(answered.map(|accepted| accepted.version))
+        let result = acceptor_of(seed).submit(submission, name(&bundle), change.clone()).await;
+        submission_outcome(result.map(|accepted| accepted.version))
     };
-    let mut answers = vec![submit(id).await];
-    if answers[0] == Answer::Unknown {
+    let mut outcomes = vec![submit(id).await];
+    if outcomes[0] == Outcome::Unknown {
         tokio::time::sleep(OUTAGE).await;
         match operator.next {
             Next::Nothing => {}
-            Next::SubmitAgain => answers.push(submit(id + 100).await),
-            Next::Abandon => answers.push(abandonment(acceptor_of(id + 200).abandon(submission).await)),
+            Next::SubmitAgain => outcomes.push(submit(id + 100).await),
+            Next::Abandon => {
+                outcomes.push(abandonment_outcome(acceptor_of(id + 200).abandon(submission).await))
+            }
         }
     }
-    answers.into_iter().map(|answer| (submission, answer)).collect()
+    outcomes.into_iter().map(|outcome| (submission, outcome)).collect()
 }
 
-async fn arrivals(platform: MemoryPlatform, times_millis: Vec<u64>) {
+async fn release_delayed_requests(platform: MemoryPlatform, times_millis: Vec<u64>) {
     for millis in times_millis {
         tokio::time::sleep(Duration::from_millis(millis % 9_000)).await;
         platform.release_delayed();
@@ -178,14 +180,14 @@
 async fn run(schedule: Schedule) -> History {
     let platform = platform_with_mesh().await;
     let operators = schedule.operators.into_iter().zip(0..);
-    let operators = operators.map(|(operator, id)| operate(platform.client(), id, operator));
-    let arriving = arrivals(platform.clone(), schedule.arrivals_millis);
-    let (calls, ()) = tokio::join!(join_all(operators), arriving);
+    let operators = operators.map(|(operator, id)| run_operator(platform.client(), id, operator));
+    let releases = release_delayed_requests(platform.clone(), schedule.arrivals_millis);
+    let (calls, ()) = tokio::join!(join_all(operators), releases);
     platform.release_delayed();
     History { calls: calls.concat(), chain: read_chain(&reader(&platform)).await }
 }
 
-fn keeps_the_rules(schedule: Schedule) -> TestResult {
+fn satisfies_the_invariants(schedule: Schedule) -> TestResult {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder.enable_time().start_paused(true).build().expect("a runtime starts");
     match check(&runtime.block_on(run(schedule))) {
@@ -195,15 +197,15 @@
 }
 
 #[test]
-fn every_answer_is_true_under_random_faults() {
+fn no_result_contradicts_the_chain_under_random_faults() {
     QuickCheck::new()
         .rng(Gen::from_size_and_seed(30, SEED))
         .tests(SCHEDULES)
-        .quickcheck(keeps_the_rules as fn(Schedule) -> TestResult);
+        .quickcheck(satisfies_the_invariants as fn(Schedule) -> TestResult);
 }
 
-/// Two versions and the calls that led to them.
-fn sound_history() -> History {
+/// A valid history: two versions and the calls that created them.
+fn valid_history() -> History {
     let hash = |number: u64| ContentHash::of(&number.to_be_bytes());
     let link = |number: u64| Link {
         version: Version(number),
@@ -214,19 +216,19 @@
         leads_to_snapshot: true,
     };
     let calls = vec![
-        (SubmissionId(1), Answer::Accepted(Version(1))),
-        (SubmissionId(2), Answer::Unknown),
-        (SubmissionId(2), Answer::Refused),
-        (SubmissionId(3), Answer::Refused),
+        (SubmissionId(1), Outcome::Accepted(Version(1))),
+        (SubmissionId(2), Outcome::Unknown),
+        (SubmissionId(2), Outcome::Refused),
+        (SubmissionId(3), Outcome::Refused),
     ];
     History { calls, chain: vec![link(1), link(2)] }
 }
 
 #[test]
-fn the_checker_finds_each_broken_rule() {
-    assert_eq!(check(&sound_history()), Ok(()));
+fn the_checker_detects_each_violation() {
+    assert_eq!(check(&valid_history()), Ok(()));
     let broken = |change: fn(&mut History)| {
-        let mut history = sound_history();
+        let mut history = valid_history();
         change(&mut history);
         check(&history)
     };
@@ -241,15 +243,15 @@
         Err(Violation::SubmissionTwice(id))
     );
     assert_eq!(
-        broken(|history| history.calls[0].1 = Answer::Accepted(Version(2))),
+        broken(|history| history.calls[0].1 = Outcome::Accepted(Version(2))),
         Err(Violation::AcceptedElsewhere(id))
     );
     assert_eq!(
-        broken(|history| history.calls[0].1 = Answer::Refused),
+        broken(|history| history.calls[0].1 = Outcome::Refused),
         Err(Violation::RefusedButAccepted(id))
     );
     assert_eq!(
-        broken(|history| history.calls[0].1 = Answer::Abandoned(Version(1))),
+        broken(|history| history.calls[0].1 = Outcome::Abandoned(Version(1))),
         Err(Violation::AbandonedElsewhere(id))
     );
 }
--- a/crates/acceptance/tests/support/mod.rs
+++ b/crates/acceptance/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small configurations, acceptors over a platform in memory, and the history that a run leaves.
+//! Small configurations, acceptors with an in-memory platform, and the history of a run.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 pub mod history;
@@ -12,7 +12,7 @@
 use umberpond_acceptance::{Acceptor, AcceptorContext, AcceptorSettings, Change};
 use umberpond_config::{Bundle, Origin, RequestClass, Route, RouteAccess, RoutePolicy, Service, Sourced};
 use umberpond_model::{BundleName, Head, LocalityRule, Millis, SubmissionId};
-use umberpond_store::memory::{Fault, MemoryPlatform, MemoryStore, RequestNote, Verb};
+use umberpond_store::memory::{Fault, MemoryPlatform, MemoryStore, RequestInfo, Verb};
 use umberpond_store::{ObjectKind, ObjectStore};
 
 pub fn name<T: std::str::FromStr>(text: &str) -> T
@@ -80,13 +80,13 @@
     Acceptor::new(context(store, seed), settings)
 }
 
-/// The head, as a new reader sees it.
+/// Reads the head with a new reader.
 pub async fn read_head(platform: &MemoryPlatform) -> Head {
-    reader(platform).read_head().await.expect("the head reads").expect("the head stands").head
+    reader(platform).read_head().await.expect("the head can be read").expect("the head exists").head
 }
 
 /// Appends versions that each replace the one bundle `billing`.
-pub async fn grow(platform: &MemoryPlatform, versions: RangeInclusive<u32>) {
+pub async fn append_versions(platform: &MemoryPlatform, versions: RangeInclusive<u32>) {
     let acceptor = acceptor(platform.client(), 1);
     for version in versions {
         put(&acceptor, version.into(), "billing", service("billing", version)).await;
@@ -109,17 +109,17 @@
 /// Submits a bundle that must be accepted.
 pub async fn put(acceptor: &Acceptor, id: u128, bundle: &str, content: Bundle) -> u64 {
     let bundle: BundleName = name(bundle);
-    let answer = acceptor.submit(SubmissionId(id), bundle, Change::Put(content)).await;
-    answer.expect("the submission is accepted").version.0
+    let result = acceptor.submit(SubmissionId(id), bundle, Change::Put(content)).await;
+    result.expect("the submission is accepted").version.0
 }
 
-/// Whether a request moves the head.
-pub fn is_swap(note: &RequestNote) -> bool {
-    note.kind == ObjectKind::Head && matches!(note.verb, Verb::Put | Verb::Create)
+/// Whether a request writes the head.
+pub fn is_swap(info: &RequestInfo) -> bool {
+    info.kind == ObjectKind::Head && matches!(info.verb, Verb::Put | Verb::Create)
 }
 
-/// A plan in which the first swap of the head meets `fault`.
-pub fn first_swap(fault: Fault) -> impl FnMut(&RequestNote) -> Fault + Send + 'static {
+/// A fault plan that injects `fault` into the first swap of the head.
+pub fn first_swap(fault: Fault) -> impl FnMut(&RequestInfo) -> Fault + Send + 'static {
     let met = AtomicBool::new(false);
-    move |note| if is_swap(note) && !met.swap(true, Ordering::Relaxed) { fault } else { Fault::None }
+    move |info| if is_swap(info) && !met.swap(true, Ordering::Relaxed) { fault } else { Fault::None }
 }
--- a/crates/config/examples/measure.rs
+++ b/crates/config/examples/measure.rs
@@ -1,4 +1,4 @@
-//! Measures the checker, hashes, deltas and restriction at the size of 420 services and 2,000 routes.
+//! Benchmark of checks, hashes, deltas and restriction with 420 services and 2,000 routes.
 //!
 //! Run with `cargo run --release -p umberpond-config --example measure`.
 
@@ -11,9 +11,9 @@
 use rand::SeedableRng;
 use rand_chacha::ChaCha20Rng;
 use umberpond_config::{
-    Bundle, BundleSource, CheckReport, Delta, HeaderCredential, Origin, Plan, RequestClass, Route,
-    RouteAccess, RoutePolicy, Scope, SealKey, Secret, SecretValue, Service, Snapshot, Sourced, TouchedScopes,
-    join, seal,
+    Bundle, BundleSource, ChangedScopes, CheckReport, Delta, HeaderCredential, Origin, Plan, RequestClass,
+    Route, RouteAccess, RoutePolicy, Scope, SealKey, Secret, SecretValue, Service, Snapshot, Sourced, join,
+    seal,
 };
 use umberpond_model::{BundleName, LocalityRule, Millis, ServiceName};
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// The callers of route `index`; readers of its secret too.
+/// Callers of route `index`, which are also the readers of its secret.
 fn callers(index: usize) -> BTreeSet<ServiceName> {
     (0..CALLERS_PER_ROUTE).map(|step| service_name((index * 7 + step * 131) % SERVICES)).collect()
 }
@@ -158,21 +158,21 @@
     println!("{SERVICES} services, {ROUTES} routes, {SECRETS} secrets, {BUNDLES} bundles, {ROUNDS} rounds");
     measure("join (checks everything, compiles)", || join(&bundles));
     measure_first_hash(&join(&bundles)?);
-    measure("content hash, whole, as kept", || before.content_hash());
-    measure("delta between two wholes", || Delta::between(&before, &after));
+    measure("content hash, full snapshot, cached", || before.content_hash());
+    measure("delta between two full snapshots", || Delta::between(&before, &after));
     measure("acceptance: join, hash, delta", || {
         let joined = join(&bundles).expect("closed");
         (joined.content_hash(), Delta::between(&before, &joined))
     });
     measure("restrict to one caller", || before.restrict(&scope));
     measure("restrict to one caller, hash", || before.restrict(&scope).content_hash());
-    measure("whom a delta touches", || TouchedScopes::of(&delta, &before, &after));
-    measure("closure of the whole", || after.check_closed_for(&Scope::Full));
-    measure("whole node: apply, hash, closure", || activate(&delta, &before, &Scope::Full));
-    measure("scoped node: apply, hash, closure", || activate(&scoped, &part, &scope));
-    measure("encode whole", || before.to_bytes());
+    measure("scopes that a delta changes", || ChangedScopes::of(&delta, &before, &after));
+    measure("closure check of the full snapshot", || after.check_closed_for(&Scope::Full));
+    measure("full node: apply, hash, closure check", || activate(&delta, &before, &Scope::Full));
+    measure("scoped node: apply, hash, closure check", || activate(&scoped, &part, &scope));
+    measure("encode full snapshot", || before.to_bytes());
     let encoded = before.to_bytes();
-    measure("decode whole", || Snapshot::from_bytes(&encoded));
+    measure("decode full snapshot", || Snapshot::from_bytes(&encoded));
     measure_plan(&before, &after);
 
     bytes("full transfer", &Snapshot::default(), &before, &scope);
@@ -189,7 +189,7 @@
     measure_examples()
 }
 
-/// What a node does with a delta on a base that it has checked before.
+/// The steps with which a node activates a delta to a base that it has already checked.
 fn activate(delta: &Delta, held: &Snapshot, scope: &Scope) -> Snapshot {
     let after = delta.apply(held);
     black_box(after.content_hash());
@@ -200,14 +200,14 @@
 fn measure_first_hash(snapshot: &Snapshot) {
     let start = Instant::now();
     black_box(snapshot.content_hash());
-    println!("content hash, whole, from scratch: {} us, one round", start.elapsed().as_micros());
+    println!("content hash, full snapshot, from scratch: {} us, one round", start.elapsed().as_micros());
 }
 
 fn measure_plan(before: &Snapshot, after: &Snapshot) {
     let start = Instant::now();
     let plan = Plan::between(before, after);
     println!(
-        "plan over all scopes: {} us, {} scopes concerned",
+        "plan over all scopes: {} us, {} scopes affected",
         start.elapsed().as_micros(),
         plan.scopes.len()
     );
--- a/crates/config/src/bundle.rs
+++ b/crates/config/src/bundle.rs
@@ -1,4 +1,4 @@
-//! Bundles as they are submitted and stored: checked files with every secret sealed.
+//! Bundles in the form in which they are submitted and stored: checked entries with all secrets sealed.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,7 @@
 use crate::encoding::{self, DecodeError};
 use crate::{Route, Secret, Service, Sourced};
 
-/// One named set of files that is submitted and withdrawn as a whole. Holds no clear secret.
+/// A named set of entries that is submitted and withdrawn as a unit. Contains no plaintext secret.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Bundle {
     /// Regions and their zones.
@@ -23,24 +23,25 @@
 }
 
 impl Bundle {
-    /// The bundle as bytes; [`Bundle::from_bytes`] reads it back.
+    /// Encodes the bundle; [`Bundle::from_bytes`] decodes it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         encoding::encode(self)
     }
 
-    /// Reads what [`Bundle::to_bytes`] wrote. The content may come from anywhere: [`crate::join`] checks it.
+    /// Decodes the output of [`Bundle::to_bytes`]. The bytes may come from an untrusted source;
+    /// [`crate::join`] checks the content.
     ///
     /// # Errors
     /// Returns [`DecodeError`] for an unknown schema, damaged bytes or a name that breaks the naming rule.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, DecodeError> {
         let bundle: Self = encoding::decode(bytes)?;
-        // Decoding passes by the constructors that check names.
+        // Decoding bypasses the constructors that validate names.
         let has_valid_names = bundle.names().all(|name| ServiceName::new(name).is_ok());
         if has_valid_names { Ok(bundle) } else { Err(DecodeError::InvalidName) }
     }
 
-    /// Every name in the bundle, defined or referred to. One naming rule holds for all kinds.
+    /// Every name that the bundle defines or references. The same naming rule applies to all kinds.
     fn names(&self) -> impl Iterator<Item = &str> {
         let regions = self.topology.iter().flat_map(|(region, zones)| {
             let zones = zones.value.iter().map(ZoneName::as_str);
--- a/crates/config/src/check/entries.rs
+++ b/crates/config/src/check/entries.rs
@@ -1,20 +1,21 @@
-//! Faults that show in one entry alone.
+//! Checks that need only a single entry.
 
 use std::collections::BTreeSet;
 
 use super::{EntryKind, EntryName, Fault, FaultKind};
 use crate::{Bundle, Origin, Route, Secret, Service};
 
-/// Most requests one back end may run at once.
+/// Maximum number of concurrent requests of one back end.
 pub(crate) const MAX_SLOTS: u64 = 100_000;
-/// Most connections one back end may accept.
+/// Maximum number of connections of one back end.
 pub(crate) const MAX_CONNECTIONS: u64 = 1_000_000;
-/// Longest time a request may take, in milliseconds (one hour).
+/// Maximum timeout of a request, in milliseconds (one hour).
 pub(crate) const MAX_TIMEOUT_MILLIS: u64 = 3_600_000;
-/// Longest path prefix, in bytes.
+/// Maximum length of a path prefix, in bytes.
 const MAX_PREFIX_BYTES: usize = 1_024;
 
-/// Headers of the connection (RFC 9110, section 7.6.1) or that decide about framing, target or identity.
+/// Connection-specific headers (RFC 9110, section 7.6.1) and headers that determine framing, target or
+/// identity.
 const FORBIDDEN_HEADERS: [&str; 13] = [
     "connection",
     "content-length",
@@ -30,15 +31,15 @@
     "transfer-encoding",
     "upgrade",
 ];
-/// Headers that start so are set by umberpond alone.
+/// Prefix of the headers that only umberpond may set.
 const RESERVED_HEADER_PREFIX: &str = "umberpond-";
 
-/// Every fault that shows in one entry of `bundle` alone.
+/// Checks each entry of `bundle` by itself and returns all faults.
 pub(crate) fn check_entries(bundle: &Bundle) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (name, region) in &bundle.topology {
         let mut entry = EntryCheck::new(&mut faults, &region.origin, EntryKind::Region, name.as_str());
-        entry.require_some("zones", region.value.len());
+        entry.require_non_empty("zones", region.value.len());
     }
     for (name, service) in &bundle.services {
         let mut entry = EntryCheck::new(&mut faults, &service.origin, EntryKind::Service, name.as_str());
@@ -70,14 +71,14 @@
 
     fn service(&mut self, service: &Service) {
         self.require_name(service.name.as_str());
-        self.require_some("allowed", service.allowed.len());
+        self.require_non_empty("allowed", service.allowed.len());
         self.require_range("slots", u64::from(service.slots), MAX_SLOTS);
         self.require_range("connections", u64::from(service.connections), MAX_CONNECTIONS);
     }
 
     fn route(&mut self, route: &Route) {
         self.require_name(route.name.as_str());
-        self.require_some("callers", route.callers.len());
+        self.require_non_empty("callers", route.callers.len());
         self.require_range("timeout_millis", route.timeout.0, MAX_TIMEOUT_MILLIS);
         if let Some(reason) = prefix_fault(&route.path_prefix) {
             self.fault("path_prefix", FaultKind::BadPrefix { reason: reason.to_owned() });
@@ -106,7 +107,7 @@
 
     fn secret(&mut self, secret: &Secret) {
         self.require_name(secret.name.as_str());
-        self.require_some("readers", secret.readers.len());
+        self.require_non_empty("readers", secret.readers.len());
     }
 
     fn require_name(&mut self, name: &str) {
@@ -115,7 +116,7 @@
         }
     }
 
-    fn require_some(&mut self, key: &str, count: usize) {
+    fn require_non_empty(&mut self, key: &str, count: usize) {
         if count == 0 {
             self.fault(key, FaultKind::Empty);
         }
@@ -138,7 +139,8 @@
     }
 }
 
-/// Why `prefix` is no path prefix. Only plain paths are accepted, so that two spellings can't mean one path.
+/// Why `prefix` is not a valid path prefix. Only plain paths are accepted, so that each path has one
+/// spelling.
 fn prefix_fault(prefix: &str) -> Option<&'static str> {
     let is_plain = |byte: u8| byte.is_ascii_alphanumeric() || b"-._~!$&'()*+,;=:@/".contains(&byte);
     if prefix.len() > MAX_PREFIX_BYTES {
@@ -148,13 +150,13 @@
         return Some("must start with `/`");
     };
     if !prefix.bytes().all(is_plain) {
-        return Some("holds a character that is not plain path text (`%`, `?`, `#`, spaces and others)");
+        return Some("contains a character that is not allowed (`%`, `?`, `#`, spaces and others)");
     }
     if !path.is_empty() && path.split('/').any(str::is_empty) {
-        return Some("holds an empty segment or ends in `/`");
+        return Some("contains an empty segment or ends in `/`");
     }
     if path.split('/').any(|segment| segment == "." || segment == "..") {
-        return Some("holds a `.` or `..` segment");
+        return Some("contains a `.` or `..` segment");
     }
     None
 }
--- a/crates/config/src/check/fault.rs
+++ b/crates/config/src/check/fault.rs
@@ -1,4 +1,4 @@
-//! Faults of bundles: where, what is wrong, and the mend.
+//! Faults of bundles: location, description and suggested correction.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 use super::FaultKind;
 use crate::Origin;
 
-/// Most characters of one part of a fault that are printed.
+/// Maximum number of characters printed of one part of a fault.
 const MAX_SHOWN_CHARACTERS: usize = 300;
 
 /// Kind of an entry of a bundle.
@@ -28,7 +28,7 @@
 }
 
 impl EntryKind {
-    /// The kind as it is written in a bundle.
+    /// The kind's name in bundle files.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -51,7 +51,7 @@
 pub struct EntryName {
     /// Kind of the entry.
     pub kind: EntryKind,
-    /// Its name as written.
+    /// Name of the entry as written in the file.
     pub name: String,
 }
 
@@ -61,23 +61,23 @@
     }
 }
 
-/// One fault of a bundle, or of the whole that bundles make together. Never carries a secret value.
+/// One fault of a bundle or of the joined configuration. Never contains a secret value.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Error, Serialize, Deserialize)]
 pub struct Fault {
-    /// Bundle in which the fault lies; absent while a bundle has no name yet.
+    /// Bundle that contains the fault; absent while a bundle has no name yet.
     pub bundle: Option<BundleName>,
     /// File and line.
     pub origin: Origin,
-    /// Entry in which the fault lies, if it lies in one.
+    /// Entry that contains the fault, if any.
     pub entry: Option<EntryName>,
-    /// Key of the entry that is at fault, if it is one key.
+    /// Faulty key of the entry, if the fault concerns a single key.
     pub key: Option<String>,
     /// What is wrong.
     pub kind: FaultKind,
 }
 
 impl Fault {
-    /// A fault of a file that lies in no entry.
+    /// Creates a fault of a file that belongs to no entry.
     #[must_use]
     pub const fn of_file(origin: Origin, kind: FaultKind) -> Self {
         Self { bundle: None, origin, entry: None, key: None, kind }
@@ -100,7 +100,7 @@
     }
 }
 
-/// Text of a file as it may reach a terminal: without control characters and not without end.
+/// Prepares text of a file for output on a terminal: replaces control characters and limits the length.
 fn printable(text: &str) -> String {
     let shown = text.chars().take(MAX_SHOWN_CHARACTERS);
     shown
@@ -110,6 +110,6 @@
 
 impl Diagnostic for Fault {
     fn help<'a>(&'a self) -> Option<Box<dyn fmt::Display + 'a>> {
-        Some(Box::new(self.kind.mend()))
+        Some(Box::new(self.kind.suggestion()))
     }
 }
--- a/crates/config/src/check/fault_kind.rs
+++ b/crates/config/src/check/fault_kind.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a bundle.
+//! The kinds of faults of a bundle.
 
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
@@ -6,7 +6,7 @@
 
 use crate::Origin;
 
-/// What is wrong. The text never repeats the value of a key that may hold a secret.
+/// The kind of a fault. Its message never contains the value of a key that may hold a secret.
 #[allow(missing_docs, reason = "each message says what the fields of its variant hold")]
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Error, Serialize, Deserialize)]
 #[serde(tag = "fault", rename_all = "kebab-case")]
@@ -14,9 +14,9 @@
     // Files.
     #[error("can't be read: {reason}")]
     Unreadable { reason: String },
-    #[error("holds no `*.toml` file")]
+    #[error("contains no `*.toml` file")]
     NoFiles,
-    #[error("holds more than {limit} files")]
+    #[error("contains more than {limit} files")]
     TooManyFiles { limit: usize },
     #[error("is larger than {limit} bytes")]
     OversizeFile { limit: u64 },
@@ -24,9 +24,9 @@
     OversizeBundle { limit: u64 },
     #[error("is not UTF-8 text")]
     NotUtf8,
-    #[error("is no regular file inside the bundle's directory")]
+    #[error("is not a regular file inside the bundle's directory")]
     OutsideDirectory,
-    #[error("is not TOML: {message}")]
+    #[error("is not valid TOML: {message}")]
     Syntax { message: String },
     #[error("`schema` is missing")]
     MissingSchema,
@@ -44,7 +44,7 @@
     UnknownWord { allowed: Vec<String> },
     #[error("{reason}")]
     BadName { reason: String },
-    #[error("the name is used already, at {first}")]
+    #[error("the name is already used at {first}")]
     DuplicateName { first: Origin },
     #[error("lists `{value}` twice")]
     DuplicateValue { value: String },
@@ -56,32 +56,32 @@
     OutOfRange { least: u64, most: u64 },
     #[error("the path prefix {reason}")]
     BadPrefix { reason: String },
-    #[error("`{method}` is no method that a route may match")]
+    #[error("`{method}` is not a method that a route may match")]
     BadMethod { method: String },
-    #[error("`{header}` is no lower-case header name")]
+    #[error("`{header}` is not a lower-case header name")]
     BadHeader { header: String },
-    #[error("the header `{header}` belongs to the connection or to umberpond")]
+    #[error("the header `{header}` is connection-specific or reserved for umberpond")]
     ForbiddenHeader { header: String },
     #[error("is not a seal key")]
     BadSealKey,
-    #[error("the entry stands under the name `{key}`")]
+    #[error("the entry is stored under another name, `{key}`")]
     NameMismatch { key: String },
 
     // Secrets.
-    #[error("a value may not stand in a bundle (it is not repeated here)")]
+    #[error("a bundle may not contain a secret value (it is not repeated here)")]
     InlineValue,
-    #[error("names no source of its value")]
+    #[error("specifies no source of its value")]
     NoValueSource,
-    #[error("names two sources of its value")]
+    #[error("specifies two sources of its value")]
     TwoValueSources,
-    #[error("the value's file leads outside the bundle's directory")]
+    #[error("the value's file is outside the bundle's directory")]
     ValueOutsideDirectory,
     #[error("the value can't be read: {reason}")]
     UnreadableValue { reason: String },
-    #[error("the value is empty, larger than {limit} bytes or holds characters that no header may carry")]
+    #[error("the value is empty, larger than {limit} bytes or contains characters not allowed in a header")]
     UnfitValue { limit: u64 },
 
-    // The whole.
+    // The joined configuration.
     #[error("is defined in bundle `{bundle}` as well, at {origin}")]
     DefinedTwice { bundle: BundleName, origin: Origin },
     #[error("region `{region}` does not exist")]
@@ -96,16 +96,16 @@
     CallerNotReader { caller: ServiceName, secret: SecretName },
     #[error("reader `{reader}` has no seal key")]
     ReaderWithoutSealKey { reader: ServiceName },
-    #[error("the value is not sealed to the key that reader `{reader}` has in force")]
+    #[error("the value is not sealed to the current key of reader `{reader}`")]
     SealedToOtherKey { reader: ServiceName },
     #[error("matches the same requests of caller `{caller}` as route `{other}`, at {origin}")]
     AmbiguousRoute { caller: ServiceName, other: RouteName, origin: Origin },
 }
 
 impl FaultKind {
-    /// How the fault is mended.
+    /// Returns a suggested correction.
     #[must_use]
-    pub fn mend(&self) -> String {
+    pub fn suggestion(&self) -> String {
         match self {
             Self::UnknownKey { known } => format!("remove it, or use one of {}", known.join(", ")),
             Self::DuplicateName { first } => format!("rename this entry or the one at {first}"),
@@ -123,10 +123,10 @@
                 format!("add `[[secret]]` with `name = \"{secret}\"`, or remove the credential")
             }
             Self::CallerNotReader { caller, secret } => {
-                format!("add `{caller}` to the `readers` of secret `{secret}`, or take it from the callers")
+                format!("add `{caller}` to the `readers` of secret `{secret}`, or remove it from the callers")
             }
             Self::ReaderWithoutSealKey { reader } => {
-                format!("set `seal_key` of service `{reader}`, or take it from the readers")
+                format!("set `seal_key` of service `{reader}`, or remove it from the readers")
             }
             Self::SealedToOtherKey { reader } => {
                 format!("submit the secret's bundle again, so that it is sealed to the new key of `{reader}`")
@@ -134,14 +134,14 @@
             Self::AmbiguousRoute { other, .. } => {
                 format!("give this route or `{other}` another prefix, other methods or other callers")
             }
-            other => other.fixed_mend().to_owned(),
+            other => other.fixed_suggestion().to_owned(),
         }
     }
 
-    /// The mend of the kinds whose mend depends on no field.
-    const fn fixed_mend(&self) -> &'static str {
+    /// Returns the suggested correction of the kinds for which it depends on no field.
+    const fn fixed_suggestion(&self) -> &'static str {
         match self {
-            Self::Unreadable { .. } => "check that the path exists and may be read",
+            Self::Unreadable { .. } => "check that the path exists and is readable",
             Self::NoFiles => "write at least one file that ends in `.toml`",
             Self::TooManyFiles { .. } | Self::OversizeBundle { .. } => "split the bundle into several",
             Self::OversizeFile { .. } => "split the file into several",
@@ -151,7 +151,7 @@
             Self::MissingSchema | Self::UnknownSchema { .. } => "set `schema = 1` at the top of the file",
             Self::MissingKey => "add the key",
             Self::WrongType { .. } => "write a value of the expected type",
-            Self::UnknownWord { .. } => "use one of the words listed",
+            Self::UnknownWord { .. } => "use one of the listed values",
             Self::BadName { .. } => {
                 "use 1 to 63 of a-z, 0-9, `-` and `.`, with a letter or digit at both ends"
             }
@@ -162,7 +162,7 @@
             Self::BadMethod { .. } => "write methods in upper case, such as `GET`; `CONNECT` is not served",
             Self::BadHeader { .. } => "write the header name in lower case, such as `authorization`",
             Self::ForbiddenHeader { .. } => "use another header, such as `authorization`",
-            Self::BadSealKey => "copy the 64 hexadecimal digits that the service's operator gave out",
+            Self::BadSealKey => "copy the 64 hexadecimal digits published by the service's operator",
             Self::NameMismatch { .. } => "submit the bundle's directory again",
             Self::InlineValue => {
                 "remove the value, use `file` or `environment`, and replace the secret if it was shared"
--- a/crates/config/src/check/whole.rs
+++ b/crates/config/src/check/joined.rs
@@ -1,4 +1,4 @@
-//! Faults that show only when all bundles are joined.
+//! Checks that need all joined bundles.
 
 use std::borrow::Borrow;
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,33 +10,33 @@
 use super::{EntryKind, Fault, FaultKind};
 use crate::{Bundle, Entries, Entry, Record, RequestLimits, Route, Secret, Service, Snapshot, Sourced};
 
-/// Everything that the bundles in force define, each name once.
-pub(super) struct Whole<'a> {
+/// All entries of the joined bundles, each name once.
+pub(super) struct JoinedBundles<'a> {
     regions: BTreeMap<&'a RegionName, Located<'a, BTreeSet<ZoneName>>>,
     services: BTreeMap<&'a ServiceName, Located<'a, Service>>,
     routes: BTreeMap<&'a RouteName, Located<'a, Route>>,
     secrets: BTreeMap<&'a SecretName, Located<'a, Secret>>,
 }
 
-impl<'a> Whole<'a> {
-    /// Collects the entries of all bundles; a name that two bundles define is a fault of the later one.
+impl<'a> JoinedBundles<'a> {
+    /// Collects the entries of all bundles. If two bundles define the same name, the later one has a fault.
     pub(super) fn of(
         bundles: impl IntoIterator<Item = (Option<&'a BundleName>, &'a Bundle)>,
         faults: &mut Vec<Fault>,
     ) -> Self {
-        let mut whole = Self {
+        let mut joined = Self {
             regions: BTreeMap::new(),
             services: BTreeMap::new(),
             routes: BTreeMap::new(),
             secrets: BTreeMap::new(),
         };
         for (bundle, content) in bundles {
-            collect(EntryKind::Region, bundle, &content.topology, &mut whole.regions, faults);
-            collect(EntryKind::Service, bundle, &content.services, &mut whole.services, faults);
-            collect(EntryKind::Route, bundle, &content.routes, &mut whole.routes, faults);
-            collect(EntryKind::Secret, bundle, &content.secrets, &mut whole.secrets, faults);
+            collect(EntryKind::Region, bundle, &content.topology, &mut joined.regions, faults);
+            collect(EntryKind::Service, bundle, &content.services, &mut joined.services, faults);
+            collect(EntryKind::Route, bundle, &content.routes, &mut joined.routes, faults);
+            collect(EntryKind::Secret, bundle, &content.secrets, &mut joined.secrets, faults);
         }
-        whole
+        joined
     }
 
     /// Checks every reference between entries.
@@ -53,7 +53,7 @@
         check_ambiguity(self.routes.values(), faults);
     }
 
-    /// The snapshot of everything collected.
+    /// Creates the snapshot of all collected entries.
     pub(super) fn snapshot(&self) -> Snapshot {
         let topology =
             self.regions.iter().map(|(name, region)| ((*name).clone(), region.value.clone())).collect();
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Checks that each value is sealed to the key that its reader has in force.
+    /// Checks that each value is sealed to its reader's current key.
     pub(super) fn check_sealed(&self, faults: &mut Vec<Fault>) {
         for secret in self.secrets.values() {
             for (reader, sealed) in &secret.value.readers {
@@ -146,18 +146,19 @@
     kind: EntryKind,
     bundle: Option<&'a BundleName>,
     entries: &'a BTreeMap<K, Sourced<T>>,
-    whole: &mut BTreeMap<&'a K, Located<'a, T>>,
+    joined: &mut BTreeMap<&'a K, Located<'a, T>>,
     faults: &mut Vec<Fault>,
 ) {
     for (name, entry) in entries {
         let located = Located { bundle, origin: &entry.origin, value: &entry.value };
-        let Some(first) = whole.get(name) else {
-            whole.insert(name, located);
+        let Some(first) = joined.get(name) else {
+            joined.insert(name, located);
             continue;
         };
         let Some(first_bundle) = first.bundle else { continue };
-        let twice = FaultKind::DefinedTwice { bundle: first_bundle.clone(), origin: first.origin.clone() };
-        faults.push(located.fault(kind, name.borrow(), "name", twice));
+        let defined_twice =
+            FaultKind::DefinedTwice { bundle: first_bundle.clone(), origin: first.origin.clone() };
+        faults.push(located.fault(kind, name.borrow(), "name", defined_twice));
     }
 }
 
--- a/crates/config/src/check/located.rs
+++ b/crates/config/src/check/located.rs
@@ -1,4 +1,4 @@
-//! Entries with the place that defines them.
+//! Entries with the location of their definition.
 
 use umberpond_model::BundleName;
 
@@ -13,7 +13,7 @@
 }
 
 impl<T> Located<'_, T> {
-    /// A fault of the entry called `name`.
+    /// Creates a fault of the entry `name`.
     pub(super) fn fault(&self, kind: EntryKind, name: &str, key: &str, fault: FaultKind) -> Fault {
         Fault {
             bundle: self.bundle.cloned(),
--- a/crates/config/src/check/report.rs
+++ b/crates/config/src/check/report.rs
@@ -1,4 +1,4 @@
-//! All faults of one check, as one diagnostic.
+//! The report of one check: all its faults as one diagnostic.
 
 use std::fmt;
 
@@ -8,7 +8,7 @@
 
 use super::Fault;
 
-/// Every fault that one check found, in the order of bundle, file and line. Never empty.
+/// All faults found by one check, ordered by bundle, file and line. Never empty.
 #[derive(Debug, Clone, PartialEq, Eq, Error, Serialize, Deserialize)]
 pub struct CheckReport {
     /// The faults.
@@ -16,7 +16,7 @@
 }
 
 impl CheckReport {
-    /// A report of `faults`, or nothing if there are none.
+    /// Creates a report of `faults`; `None` if there are none.
     #[must_use]
     pub fn of(mut faults: Vec<Fault>) -> Option<Self> {
         faults.sort();
--- a/crates/config/src/check/routes.rs
+++ b/crates/config/src/check/routes.rs
@@ -8,10 +8,10 @@
 use super::{EntryKind, Fault, FaultKind};
 use crate::Route;
 
-/// Routes that one caller uses to one service under one path prefix.
+/// Routes of one caller to one service under one path prefix.
 type Group<'a> = Vec<&'a Located<'a, Route>>;
 
-/// Adds a fault for each two routes between which a caller's node couldn't choose.
+/// Adds a fault for each route that matches the same requests of a caller as an earlier route.
 pub(super) fn check_ambiguity<'a>(
     routes: impl Iterator<Item = &'a Located<'a, Route>>,
     faults: &mut Vec<Fault>,
@@ -29,7 +29,7 @@
     }
 }
 
-/// An empty set of methods matches every method.
+/// Whether both routes match a common method. An empty set of methods matches every method.
 fn share_method(one: &Route, other: &Route) -> bool {
     one.methods.is_empty() || other.methods.is_empty() || !one.methods.is_disjoint(&other.methods)
 }
--- a/crates/config/src/closure.rs
+++ b/crates/config/src/closure.rs
@@ -1,4 +1,4 @@
-//! Closure: nothing in a snapshot refers to something that the snapshot lacks.
+//! Closure checks: every reference in a snapshot must resolve inside the snapshot.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,20 +10,20 @@
 /// The first dangling reference found in a snapshot.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum ClosureError {
-    /// A route points at a service that the snapshot lacks.
-    #[error("route `{route}` points at service `{service}`, which the snapshot lacks")]
+    /// A route references a service that the snapshot does not contain.
+    #[error("route `{route}` references service `{service}`, which the snapshot does not contain")]
     RouteWithoutService {
         /// The route.
         route: RouteName,
-        /// The service it points at.
+        /// The referenced service.
         service: ServiceName,
     },
-    /// A route uses a secret that the snapshot lacks.
-    #[error("route `{route}` uses secret `{secret}`, which the snapshot lacks")]
+    /// A route references a secret that the snapshot does not contain.
+    #[error("route `{route}` references secret `{secret}`, which the snapshot does not contain")]
     RouteWithoutSecret {
         /// The route.
         route: RouteName,
-        /// The secret it uses.
+        /// The referenced secret.
         secret: SecretName,
     },
     /// A caller inside the scope can't open a secret of a route that it calls.
@@ -31,12 +31,12 @@
     SecretNotSealedToCaller {
         /// The route.
         route: RouteName,
-        /// The secret it uses.
+        /// The referenced secret.
         secret: SecretName,
-        /// The caller that lacks a sealed value.
+        /// The caller without a sealed value.
         caller: ServiceName,
     },
-    /// A service may be served in a locality that doesn't exist.
+    /// A service allows a locality that does not exist.
     #[error("service `{service}` allows a locality in region `{region}` that does not exist")]
     UnknownLocality {
         /// The service.
@@ -46,20 +46,20 @@
         /// Zone of the locality rule, if it names one.
         zone: Option<ZoneName>,
     },
-    /// Two tenants have the same key, so that it would not be known whose requests carry it.
+    /// Two tenants have the same key, so requests with this key could not be attributed to one of them.
     #[error("tenants `{first}` and `{second}` have the same key")]
     SharedKey {
-        /// The tenant that comes first.
+        /// The first of the two, in the order of their names.
         first: TenantName,
         /// The other one.
         second: TenantName,
     },
-    /// An entry stands under a name that isn't its own.
-    #[error("the entry under `{key}` calls itself `{name}`")]
+    /// An entry is stored under a name that differs from its own.
+    #[error("the entry stored under `{key}` has the name `{name}`")]
     NameMismatch {
-        /// Name under which the entry stands.
+        /// Name under which the entry is stored.
         key: String,
-        /// Name in the entry.
+        /// The entry's own name.
         name: String,
     },
 }
@@ -81,13 +81,13 @@
         self.check_tenants()
     }
 
-    /// Checks that each tenant's keys are its own.
+    /// Checks that no two tenants have the same key.
     fn check_tenants(&self) -> Result<(), ClosureError> {
-        let mut holders = BTreeMap::new();
+        let mut key_owners = BTreeMap::new();
         for (name, tenant) in &self.tenants {
             check_name(name.as_str(), tenant.name.as_str())?;
             for key in &tenant.keys {
-                if let Some(first) = holders.insert(key, name) {
+                if let Some(first) = key_owners.insert(key, name) {
                     return Err(ClosureError::SharedKey { first: first.clone(), second: name.clone() });
                 }
             }
@@ -95,11 +95,12 @@
         Ok(())
     }
 
-    /// As [`Snapshot::check_closed_for`], for what `delta` made of a snapshot that was closed for `scope`: looks only at
-    /// what changed, and at the routes that refer to what was changed or removed.
+    /// Incremental form of [`Snapshot::check_closed_for`]. This snapshot must result from applying `delta` to
+    /// a snapshot that was closed for `scope`; only changed entries and routes that reference them are
+    /// checked.
     ///
     /// # Errors
-    /// Returns a dangling reference or a secret that a caller can't open, if the full check would return any.
+    /// Returns a dangling reference or a secret that a caller can't open if and only if the full check fails.
     pub fn check_delta(&self, delta: &Delta, scope: &Scope) -> Result<(), ClosureError> {
         self.check_changed_services(delta)?;
         for key in delta.secrets.keys() {
@@ -116,7 +117,7 @@
         if delta.tenants.is_empty() { Ok(()) } else { self.check_tenants() }
     }
 
-    /// A changed topology concerns every service, and no route.
+    /// Checks the changed services. A changed topology affects every service but no route.
     fn check_changed_services(&self, delta: &Delta) -> Result<(), ClosureError> {
         if delta.topology.is_some() {
             return self.check_services();
@@ -130,7 +131,8 @@
         Ok(())
     }
 
-    /// Changed routes, those that point at removed services, and those that use changed or removed secrets.
+    /// Returns the changed routes, those that reference removed services, and those that reference changed or
+    /// removed secrets.
     fn routes_to_check<'a>(&'a self, delta: &'a Delta) -> BTreeSet<&'a RouteName> {
         let index = self.routes.index();
         let removed = delta.services.iter().filter(|(_, service)| service.is_none());
@@ -139,8 +141,8 @@
         delta.routes.keys().chain(of_services).chain(of_secrets).collect()
     }
 
-    /// As [`Snapshot::check_closed`], and checks that each caller inside `scope` has a sealed value of each secret
-    /// of the routes that it calls.
+    /// Same as [`Snapshot::check_closed`], but also checks that each caller in `scope` has a sealed value for
+    /// every secret of the routes that it may call.
     ///
     /// # Errors
     /// Returns the first dangling reference or the first secret that a caller can't open.
--- a/crates/config/src/content_hasher.rs
+++ b/crates/config/src/content_hasher.rs
@@ -1,5 +1,5 @@
-//! The hash of a snapshot's content. Every part has a fixed size or is preceded by its length, so that no two contents
-//! share an input.
+//! The content hash of a snapshot. Every part of the input has a fixed size or is prefixed with its length,
+//! so that different contents never have the same input.
 
 use umberpond_model::ContentHash;
 
@@ -7,10 +7,11 @@
 use crate::record::Record;
 use crate::{RequestLimits, Topology};
 
-/// Domain separation from every other use of BLAKE3; changes with the meaning of the hash.
-const DOMAIN: &str = "umberpond 2026 snapshot content 4";
+/// Context string that separates this hash from other uses of BLAKE3. A change of what the hash covers
+/// requires a new string.
+const CONTEXT: &str = "umberpond 2026 snapshot content 4";
 
-/// Collects the content of one snapshot in its fixed order.
+/// Serializes the content of one snapshot in a fixed order.
 pub(crate) struct ContentHasher(Vec<u8>);
 
 impl ContentHasher {
@@ -42,7 +43,7 @@
     }
 
     pub(crate) fn finish(self) -> ContentHash {
-        ContentHash::from_bytes(blake3::derive_key(DOMAIN, &self.0))
+        ContentHash::from_bytes(blake3::derive_key(CONTEXT, &self.0))
     }
 
     fn text(&mut self, text: &str) {
--- a/crates/config/src/content_set.rs
+++ b/crates/config/src/content_set.rs
@@ -1,34 +1,34 @@
-//! A set of fixed-size leaves with a hash that costs in proportion to what changed.
+//! A set of fixed-size leaves with an incremental hash: the cost of an update is proportional to the change.
 //!
-//! The leaves stand sorted in buckets by their first bits; the hash is taken over the hashes of the buckets that hold
-//! anything. Copies share their buckets, and with them the bucket hashes computed so far. Which leaves are in the
-//! set decides its hash, not the way there.
+//! The leaves are sorted into buckets by their first byte; the set's hash covers the hashes of all non-empty
+//! buckets. Copies share their buckets, including the bucket hashes computed so far. The hash depends only on
+//! the leaves in the set, not on the order of the changes.
 
 use std::sync::{Arc, OnceLock};
 
 use umberpond_model::ContentHash;
 
-/// About the square root of the entries in a large configuration: hashing one bucket then costs as much as
-/// hashing the list of buckets.
+/// Number of buckets: about the square root of the number of entries in a large configuration, so that
+/// hashing one bucket costs as much as hashing the list of buckets.
 const BUCKETS: usize = 64;
 
-/// First bytes of what is hashed, so that no leaf, bucket or set shares an input with one of another kind.
+/// First byte of each hash input, so that leaves, buckets and sets never have the same input.
 const LEAF: u8 = 0;
 const BUCKET: u8 = 1;
 const SET: u8 = 2;
 
 #[derive(Debug, Clone, Default)]
 struct Bucket {
-    /// Sorted, each once.
+    /// Sorted and without duplicates.
     leaves: Vec<ContentHash>,
-    /// Empty after a change until it is asked for.
+    /// Cached hash; cleared by every change and computed on demand.
     hash: OnceLock<ContentHash>,
 }
 
 /// A set of leaves and its hash.
 #[derive(Debug, Clone)]
 pub(crate) struct ContentSet {
-    /// Without the buckets that hold nothing, so that a bucket that was emptied leaves no trace.
+    /// Empty buckets are `None`, so that a bucket that became empty does not affect the hash.
     buckets: Arc<[Option<Arc<Bucket>>; BUCKETS]>,
     hash: OnceLock<ContentHash>,
 }
@@ -39,7 +39,7 @@
     }
 }
 
-/// The leaf of an entry: its name behind the name's length, and the entry's own hash.
+/// Returns the leaf of an entry: the hash of its length-prefixed name and the entry's own hash.
 pub(crate) fn leaf(name: &str, entry: ContentHash) -> ContentHash {
     let mut input = Vec::with_capacity(1 + 8 + name.len() + entry.as_bytes().len());
     input.push(LEAF);
@@ -50,23 +50,23 @@
 }
 
 impl ContentSet {
-    /// Adds a leaf; changes nothing if it is there.
+    /// Adds a leaf; has no effect if the set contains it.
     pub(crate) fn insert(&mut self, leaf: ContentHash) {
         let bucket = Arc::make_mut(self.bucket_mut(leaf).get_or_insert_default());
-        if let Err(place) = bucket.leaves.binary_search(&leaf) {
-            bucket.leaves.insert(place, leaf);
+        if let Err(index) = bucket.leaves.binary_search(&leaf) {
+            bucket.leaves.insert(index, leaf);
             bucket.hash.take();
         }
         self.hash.take();
     }
 
-    /// Removes a leaf; changes nothing if it isn't there.
+    /// Removes a leaf; has no effect if the set does not contain it.
     pub(crate) fn remove(&mut self, leaf: ContentHash) {
         let slot = self.bucket_mut(leaf);
         let Some(shared) = slot else { return };
         let bucket = Arc::make_mut(shared);
-        if let Ok(place) = bucket.leaves.binary_search(&leaf) {
-            bucket.leaves.remove(place);
+        if let Ok(index) = bucket.leaves.binary_search(&leaf) {
+            bucket.leaves.remove(index);
             bucket.hash.take();
         }
         if bucket.leaves.is_empty() {
@@ -75,7 +75,7 @@
         self.hash.take();
     }
 
-    /// Hash of the set. Computes what changed since it was asked for last.
+    /// Returns the hash of the set. Only buckets changed since the last call are hashed again.
     pub(crate) fn hash(&self) -> ContentHash {
         *self.hash.get_or_init(|| {
             let mut input = vec![SET];
--- a/crates/config/src/delta.rs
+++ b/crates/config/src/delta.rs
@@ -8,10 +8,10 @@
 use crate::encoding::{self, DecodeError};
 use crate::{Entries, Entry, Record, RequestLimits, Route, Secret, Service, Snapshot, Tenant, Topology};
 
-/// What changes between two snapshots: a value sets an entry, `None` removes it.
+/// The difference between two snapshots: a value sets an entry, `None` removes it.
 ///
-/// Deltas are taken inside a scope: `between(before.restrict(s), after.restrict(s))` leads a node that holds the
-/// restriction of `before` to the restriction of `after`, and names nothing outside the scope.
+/// Deltas are computed within a scope: `between(before.restrict(s), after.restrict(s))` updates a node from
+/// the restriction of `before` to the restriction of `after`, and contains nothing outside the scope.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct Delta {
     /// The new topology, if it changes.
@@ -29,7 +29,8 @@
 }
 
 impl Delta {
-    /// The delta that leads from `before` to `after`. `between(&Snapshot::default(), s)` is a full transfer of `s`.
+    /// Computes the delta from `before` to `after`. `between(&Snapshot::default(), s)` is a full transfer of
+    /// `s`.
     #[must_use]
     pub fn between(before: &Snapshot, after: &Snapshot) -> Self {
         let topology_changes = before.topology != after.topology;
@@ -43,7 +44,7 @@
         }
     }
 
-    /// Whether nothing changes.
+    /// Whether the delta changes nothing.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.topology.is_none()
@@ -54,7 +55,7 @@
             && self.tenants.is_empty()
     }
 
-    /// The snapshot that results from applying this delta to `before`.
+    /// Applies this delta to `before` and returns the resulting snapshot.
     #[must_use]
     pub fn apply(&self, before: &Snapshot) -> Snapshot {
         let mut after = before.clone();
@@ -71,13 +72,13 @@
         after
     }
 
-    /// The delta as bytes; [`Delta::from_bytes`] reads it back.
+    /// Encodes the delta; [`Delta::from_bytes`] decodes it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         encoding::encode(self)
     }
 
-    /// Reads what [`Delta::to_bytes`] wrote.
+    /// Decodes the output of [`Delta::to_bytes`].
     ///
     /// # Errors
     /// Returns [`DecodeError`] for an unknown schema or damaged bytes.
--- a/crates/config/src/entries.rs
+++ b/crates/config/src/entries.rs
@@ -1,4 +1,4 @@
-//! The entries of one kind: a persistent ordered map that keeps its hash and its index.
+//! The entries of one kind: a persistent ordered map that maintains a content hash and an index.
 
 use std::borrow::Borrow;
 use std::fmt::{self, Debug};
@@ -33,8 +33,8 @@
     type Index = NoIndex;
 }
 
-/// Entries by name, in the order of the names. Copies share their content: a copy costs the same whatever the size, a
-/// change the logarithm of the size.
+/// Entries by name, ordered by name. Copies share their content: copying takes constant time, a change takes
+/// logarithmic time.
 #[derive(Clone)]
 pub struct Entries<T: Record> {
     map: OrdMap<T::Name, Entry<T>>,
@@ -43,7 +43,7 @@
 }
 
 impl<T: Record> Entries<T> {
-    /// The entry called `name`.
+    /// Returns the entry `name`.
     #[must_use]
     pub fn get<Q: Ord + ?Sized>(&self, name: &Q) -> Option<&Entry<T>>
     where
@@ -52,7 +52,7 @@
         self.map.get(name)
     }
 
-    /// The entry called `name` and the name as the map holds it.
+    /// Returns the entry `name` together with the map's own copy of the name.
     #[must_use]
     pub fn get_key_value<Q: Ord + ?Sized>(&self, name: &Q) -> Option<(&T::Name, &Entry<T>)>
     where
@@ -61,7 +61,7 @@
         self.map.get_key_value(name)
     }
 
-    /// Whether there is an entry called `name`.
+    /// Whether there is an entry `name`.
     #[must_use]
     pub fn contains_key<Q: Ord + ?Sized>(&self, name: &Q) -> bool
     where
@@ -70,58 +70,58 @@
         self.map.contains_key(name)
     }
 
-    /// Count of entries.
+    /// Returns the number of entries.
     #[must_use]
     pub fn len(&self) -> usize {
         self.map.len()
     }
 
-    /// Whether there is no entry.
+    /// Whether there are no entries.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.map.is_empty()
     }
 
-    /// Names and entries, in the order of the names.
+    /// Iterates over names and entries, ordered by name.
     pub fn iter(&self) -> imbl::ordmap::Iter<'_, T::Name, Entry<T>, imbl::shared_ptr::DefaultSharedPtr> {
         self.map.iter()
     }
 
-    /// Names in order.
+    /// Iterates over the names in order.
     pub fn keys(&self) -> impl Iterator<Item = &T::Name> {
         self.map.keys()
     }
 
-    /// Entries, in the order of their names.
+    /// Iterates over the entries, ordered by name.
     pub fn values(&self) -> impl Iterator<Item = &Entry<T>> {
         self.map.values()
     }
 
-    /// Sets the entry called `name`; returns the one in whose place it stands.
+    /// Sets the entry `name`; returns the entry that it replaces.
     pub fn insert(&mut self, name: T::Name, entry: Entry<T>) -> Option<Entry<T>> {
-        let new_leaf = leaf(text::<T>(&name), entry.hash());
+        let new_leaf = leaf(name_str::<T>(&name), entry.hash());
         let old = self.map.insert(name.clone(), entry.clone());
         if let Some(old) = &old {
-            self.content.remove(leaf(text::<T>(&name), old.hash()));
+            self.content.remove(leaf(name_str::<T>(&name), old.hash()));
         }
         self.content.insert(new_leaf);
-        self.index.replace(&name, old.as_deref(), Some(&entry));
+        self.index.update(&name, old.as_deref(), Some(&entry));
         old
     }
 
-    /// Removes the entry called `name` and returns it.
+    /// Removes and returns the entry `name`.
     pub fn remove<Q: Ord + ?Sized>(&mut self, name: &Q) -> Option<Entry<T>>
     where
         T::Name: Borrow<Q>,
     {
         let (name, old) = self.map.remove_with_key(name)?;
-        self.content.remove(leaf(text::<T>(&name), old.hash()));
-        self.index.replace(&name, Some(&old), None);
+        self.content.remove(leaf(name_str::<T>(&name), old.hash()));
+        self.index.update(&name, Some(&old), None);
         Some(old)
     }
 
-    /// What stands otherwise in `after`: the new entry, or none where it is removed. Costs in proportion to what the
-    /// two don't share.
+    /// Iterates over the entries that differ in `after`: the new entry, or `None` if it is removed. The cost
+    /// is proportional to the parts that the two maps do not share.
     pub(crate) fn changes_to<'a>(
         &'a self,
         after: &'a Self,
@@ -133,7 +133,7 @@
         })
     }
 
-    /// Hash over names and entries.
+    /// Hash of all names and entries.
     pub(crate) fn hash(&self) -> ContentHash {
         self.content.hash()
     }
@@ -143,7 +143,7 @@
     }
 }
 
-fn text<T: Record>(name: &T::Name) -> &str {
+fn name_str<T: Record>(name: &T::Name) -> &str {
     name.borrow()
 }
 
--- a/crates/config/src/entry.rs
+++ b/crates/config/src/entry.rs
@@ -1,4 +1,4 @@
-//! An immutable part of a snapshot, shared between snapshots and hashed once.
+//! An immutable entry of a snapshot, shared between snapshots and hashed once.
 
 use std::ops::Deref;
 use std::sync::Arc;
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,6 +1,6 @@
 //! Bundles, the checker, compiled snapshots, scopes and deltas.
 //!
-//! Operators write a *bundle* (a directory of TOML files). All bundles in force are joined, checked as a whole
+//! Operators write a *bundle* (a directory of TOML files). All active bundles are joined, checked together
 //! and compiled into one closed [`Snapshot`]; a node holds the part of it that its [`Scope`] covers.
 
 mod bundle;
@@ -53,4 +53,4 @@
     BundleSource, MAX_BUNDLE_BYTES, MAX_FILE_BYTES, MAX_FILES, MAX_SECRET_BYTES, SecretSource, ValueSource,
 };
 pub use tenant::{KeyHash, Quota, Tenant};
-pub use touched::TouchedScopes;
+pub use touched::ChangedScopes;
--- a/crates/config/src/limits.rs
+++ b/crates/config/src/limits.rs
@@ -1,19 +1,19 @@
-//! Limits on what a caller may send.
+//! Limits on the requests and connections of callers.
 
 use bitcode::{Decode, Encode};
 use serde::{Deserialize, Serialize};
 use umberpond_model::Millis;
 
-/// Limits on requests and on the connections that bring them.
+/// Limits on requests and on the connections that carry them.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RequestLimits {
-    /// Longest head of a request, in bytes.
+    /// Maximum size of a request head, in bytes.
     pub head_bytes: u64,
-    /// Longest body of a request, in bytes.
+    /// Maximum size of a request body, in bytes.
     pub body_bytes: u64,
-    /// Longest time from the first byte of a head to its end.
+    /// Maximum time from the first byte of a head to its end.
     pub head_time: Millis,
-    /// Longest time that a connection without a request is kept.
+    /// Maximum time that an idle connection is kept open.
     pub idle_time: Millis,
 }
 
--- a/crates/config/src/origin.rs
+++ b/crates/config/src/origin.rs
@@ -1,4 +1,4 @@
-//! Where an entry was written, for faults that are found later.
+//! The location at which an entry is written, for faults that are found later.
 
 use std::fmt;
 
@@ -10,7 +10,7 @@
 pub struct Origin {
     /// File name relative to the bundle's directory.
     pub file: String,
-    /// Line, counted from 1; 0 stands for the file as a whole.
+    /// Line number, starting at 1; 0 refers to the whole file.
     pub line: u32,
 }
 
@@ -23,10 +23,10 @@
     }
 }
 
-/// A value together with the place where it was written. The origin is no part of the snapshot or its hash.
+/// A value with the location at which it is written. The origin is not part of the snapshot or its hash.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Sourced<T> {
-    /// Where the value was written.
+    /// Location of the value.
     pub origin: Origin,
     /// The value.
     pub value: T,
--- a/crates/config/src/plan/changes.rs
+++ b/crates/config/src/plan/changes.rs
@@ -1,17 +1,17 @@
-//! Names added, removed and changed.
+//! Names of added, removed and changed entries.
 
 use serde::Serialize;
 
 use crate::{Entries, Record};
 
-/// What happens to the entries of one kind.
+/// Changes of the entries of one kind.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct Changes<K> {
-    /// Only in the snapshot after.
+    /// Only in the new snapshot.
     pub added: Vec<K>,
-    /// Only in the snapshot before.
+    /// Only in the old snapshot.
     pub removed: Vec<K>,
-    /// In both, with another content.
+    /// In both snapshots, with different content.
     pub changed: Vec<K>,
 }
 
@@ -22,7 +22,7 @@
 }
 
 impl<K: Ord + Clone> Changes<K> {
-    /// The changes between two sets of entries.
+    /// Computes the changes between two sets of entries.
     pub(super) fn between<T: Record<Name = K>>(before: &Entries<T>, after: &Entries<T>) -> Self {
         let mut changes = Self::default();
         for (name, entry) in after {
--- a/crates/config/src/plan/localities.rs
+++ b/crates/config/src/plan/localities.rs
@@ -1,5 +1,5 @@
-//! Where traffic would become allowed. Rules are compared by the zones that they reach, so that a zone added to a
-//! region counts for every service that may use the whole region.
+//! Localities in which traffic would become allowed. Rules are compared by the zones that they cover, so that
+//! a zone added to a region counts for every service that may use the whole region.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use super::Changes;
 use crate::Snapshot;
 
-/// Whose traffic it is.
+/// The traffic concerned.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Subject {
@@ -19,40 +19,40 @@
     Route(RouteName),
 }
 
-/// Traffic that would be allowed in localities where it wasn't.
+/// Traffic that would become allowed in further localities.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct NewLocalities {
-    /// Whose traffic.
+    /// The traffic concerned.
     pub subject: Subject,
-    /// The localities that are new to it.
+    /// The newly allowed localities.
     pub localities: Vec<Locality>,
 }
 
-/// Every existing service and route whose traffic would be allowed in a new locality.
+/// Returns all existing services and routes whose traffic would become allowed in a new locality.
 pub(super) fn new_localities(before: &Snapshot, after: &Snapshot) -> Vec<NewLocalities> {
     let mut found = Vec::new();
     for service in before.services.keys().filter(|name| after.services.contains_key(*name)) {
-        let new = difference(&reach(after, service), &reach(before, service));
-        push(&mut found, Subject::Service(service.clone()), new);
+        let new = difference(&allowed_zones(after, service), &allowed_zones(before, service));
+        push_non_empty(&mut found, Subject::Service(service.clone()), new);
     }
     for (name, old) in &before.routes {
         let Some(route) = after.routes.get(name) else { continue };
         if route.service != old.service {
-            let new = difference(&reach(after, &route.service), &reach(before, &old.service));
-            push(&mut found, Subject::Route(name.clone()), new);
+            let new = difference(&allowed_zones(after, &route.service), &allowed_zones(before, &old.service));
+            push_non_empty(&mut found, Subject::Route(name.clone()), new);
         }
     }
     found
 }
 
-/// Zones added and removed.
+/// Returns the added and removed zones.
 pub(super) fn zone_changes(before: &Snapshot, after: &Snapshot) -> Changes<Locality> {
     let (before, after) = (zones(before), zones(after));
     Changes { added: difference(&after, &before), removed: difference(&before, &after), changed: Vec::new() }
 }
 
-/// The zones in which a service may be served.
-fn reach(snapshot: &Snapshot, service: &ServiceName) -> BTreeSet<Locality> {
+/// Returns the zones in which a service may be served.
+fn allowed_zones(snapshot: &Snapshot, service: &ServiceName) -> BTreeSet<Locality> {
     let Some(service) = snapshot.services.get(service) else {
         return BTreeSet::new();
     };
@@ -72,7 +72,7 @@
     one.difference(other).cloned().collect()
 }
 
-fn push(found: &mut Vec<NewLocalities>, subject: Subject, localities: Vec<Locality>) {
+fn push_non_empty(found: &mut Vec<NewLocalities>, subject: Subject, localities: Vec<Locality>) {
     if !localities.is_empty() {
         found.push(NewLocalities { subject, localities });
     }
--- a/crates/config/src/plan/mod.rs
+++ b/crates/config/src/plan/mod.rs
@@ -1,4 +1,4 @@
-//! Plans: what a change of the configuration would do, before anybody accepts it.
+//! Plans: the effects of a configuration change, computed before it is accepted.
 
 mod changes;
 mod localities;
@@ -12,36 +12,38 @@
 
 use crate::{Delta, Scope, Snapshot};
 
-/// What leads from one snapshot to another, and whom it concerns.
+/// The changes from one snapshot to another, and the nodes that they affect.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Plan {
-    /// Existing services and routes whose traffic would be allowed where it wasn't. Read these first.
+    /// Existing services and routes whose traffic would become allowed in new localities. Operators should
+    /// review these first.
     pub new_localities: Vec<NewLocalities>,
-    /// Zones.
+    /// Changes of zones.
     pub localities: Changes<Locality>,
-    /// Services.
+    /// Changes of services.
     pub services: Changes<ServiceName>,
-    /// Routes.
+    /// Changes of routes.
     pub routes: Changes<RouteName>,
-    /// Secrets. A secret that was only sealed again counts as changed: nobody but its readers can tell.
+    /// Changes of secrets. A secret that was only sealed again counts as changed, because only its readers
+    /// can detect that the value is the same.
     pub secrets: Changes<SecretName>,
-    /// Services whose nodes receive a delta, each with its size.
+    /// Services whose nodes receive a delta, with the size of the delta.
     pub scopes: Vec<AffectedScope>,
     /// Size of the delta that relays and readers receive, in bytes; 0 if nothing changes.
     pub full_delta_bytes: usize,
 }
 
-/// The nodes of one service, and what they receive.
+/// The nodes of one service and the size of the delta that they receive.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct AffectedScope {
-    /// Service beside whose back ends the nodes run.
+    /// The service whose back ends the nodes accompany.
     pub service: ServiceName,
     /// Size of the delta that each of the nodes receives, in bytes.
     pub delta_bytes: usize,
 }
 
 impl Plan {
-    /// What leads from `before` to `after`, both whole.
+    /// Computes the plan for a change from `before` to `after`, both unrestricted.
     #[must_use]
     pub fn between(before: &Snapshot, after: &Snapshot) -> Self {
         let full = Delta::between(before, after);
--- a/crates/config/src/plan/text.rs
+++ b/crates/config/src/plan/text.rs
@@ -1,4 +1,4 @@
-//! The plan as text, the warnings first.
+//! The text form of a plan, with the warnings first.
 
 use std::fmt::{self, Display};
 
--- a/crates/config/src/record.rs
+++ b/crates/config/src/record.rs
@@ -1,4 +1,4 @@
-//! Kinds of entries, and what is found of them by other means than the name.
+//! Kinds of entries and their secondary indexes.
 
 use std::borrow::Borrow;
 use std::fmt::Debug;
@@ -7,22 +7,22 @@
 
 /// A kind of entry.
 pub trait Record: Clone + Encode {
-    /// Name under which entries of this kind stand.
+    /// Type of the names of entries of this kind.
     type Name: Clone + Ord + Borrow<str> + Debug;
-    /// What is found by other means than the name.
+    /// Secondary index of entries of this kind.
     type Index: RecordIndex<Self>;
 }
 
-/// An index that follows the changes of a map.
+/// A secondary index that is updated with every change of a map.
 pub trait RecordIndex<T: Record>: Clone + Default + Debug {
-    /// Takes in that `new` stands in the place of `old` under `name`.
-    fn replace(&mut self, name: &T::Name, old: Option<&T>, new: Option<&T>);
+    /// Updates the index after the entry `name` changed from `old` to `new`.
+    fn update(&mut self, name: &T::Name, old: Option<&T>, new: Option<&T>);
 }
 
-/// The index of a kind that is only found by name.
+/// The index of kinds that are looked up by name only.
 #[derive(Debug, Clone, Default)]
 pub struct NoIndex;
 
 impl<T: Record> RecordIndex<T> for NoIndex {
-    fn replace(&mut self, _name: &T::Name, _old: Option<&T>, _new: Option<&T>) {}
+    fn update(&mut self, _name: &T::Name, _old: Option<&T>, _new: Option<&T>) {}
 }
--- a/crates/config/src/route.rs
+++ b/crates/config/src/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests of which callers go to which service, and how they may be treated.
+//! Routes: which requests of which callers go to which service, and how they are handled.
 
 use std::collections::BTreeSet;
 
@@ -6,19 +6,20 @@
 use serde::{Deserialize, Serialize};
 use umberpond_model::{HomeRegions, Millis, RouteName, SecretName, ServiceName};
 
-/// Importance of a request. Under overload the lowest class is shed first; the order of the variants is that order.
+/// Importance of a request. Under overload the lowest class is shed first; the variants are in ascending
+/// order.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode, Serialize, Deserialize,
 )]
 #[serde(rename_all = "kebab-case")]
 pub enum RequestClass {
-    /// Reports and other work that can wait.
+    /// Reports and other work that can be delayed.
     Reporting,
-    /// Status look-ups, archive pages, hints: what a person reads.
+    /// Status look-ups, archive pages, hints: read requests of users.
     Status,
-    /// Renewals, purchases, activations: what changes something.
+    /// Renewals, purchases, activations: requests that change data.
     Transaction,
-    /// Internal checks on which other requests wait.
+    /// Internal checks that other requests wait for.
     Internal,
 }
 
@@ -27,7 +28,7 @@
 pub struct HeaderCredential {
     /// Lower-case header name.
     pub header: String,
-    /// Secret whose value becomes the header's value.
+    /// Secret that provides the header's value.
     pub secret: SecretName,
 }
 
@@ -40,17 +41,19 @@
     pub weight: u32,
 }
 
-/// Upstreams to which one request may be sent where a route says nothing.
+/// Default of [`RoutePolicy::attempts`].
 const DEFAULT_ATTEMPTS: u32 = 3;
 
-/// How hard and in which order the requests of a route are served.
+/// Attempts, latency objective and priority of the requests of a route.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RoutePolicy {
-    /// Most upstreams that may run one request, at least 1. Those that turned it away have not run it.
+    /// Maximum number of upstreams that may run one request, at least 1. Upstreams that rejected it have not
+    /// run it.
     pub attempts: u32,
-    /// Time within which an answer is of full use; absent if the route names none.
+    /// Time within which a response has its full value; absent if the route has no objective.
     pub objective: Option<Millis>,
-    /// Rank among the requests for one back end: 0 is served first. Absent: by the route's class.
+    /// Rank among the requests for one back end; 0 is served first. If absent, the route's class determines
+    /// it.
     pub priority: Option<u8>,
 }
 
@@ -60,27 +63,27 @@
     }
 }
 
-/// Whose requests a route takes, and where they may be served.
+/// The tenants whose requests a route accepts, and the regions in which they may be served.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct RouteAccess {
-    /// Whether requests need no key of a tenant, even if there are tenants.
+    /// Whether requests need no tenant key even if tenants are configured.
     pub is_public: bool,
-    /// Where the requests may be served.
+    /// Regions in which the requests may be served.
     pub homes: HomeRegions,
 }
 
-/// One route as it is in force.
+/// A route of the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Route {
     /// Name of the route.
     pub name: RouteName,
     /// Service that serves the route.
     pub service: ServiceName,
-    /// Services whose nodes may call the route; those of every service if empty.
+    /// Services whose nodes may call the route; all services if empty.
     pub callers: BTreeSet<ServiceName>,
-    /// Host that the requests name; the name of the service if absent.
+    /// Host of the requests; the name of the service if absent.
     pub host: Option<String>,
-    /// Services among which the requests are divided; all go to `service` if empty.
+    /// Services among which the requests are split; all requests go to `service` if empty.
     pub split: Vec<Destination>,
     /// Attempts, objective and priority.
     pub policy: RoutePolicy,
@@ -88,15 +91,15 @@
     pub path_prefix: String,
     /// Upper-case methods that match; all if empty.
     pub methods: BTreeSet<String>,
-    /// Whether a request may run more than once. Unsaid in a bundle means `false`.
+    /// Whether a request may run more than once. Defaults to `false` in bundles.
     pub idempotent: bool,
     /// Importance under overload.
     pub class: RequestClass,
-    /// Longest time a request may take, all attempts included.
+    /// Maximum time for a request, including all attempts.
     pub timeout: Millis,
     /// Headers set from secrets.
     pub credentials: Vec<HeaderCredential>,
-    /// Whose requests it takes, and where they may be served.
+    /// Tenants whose requests are accepted, and regions in which they may be served.
     pub access: RouteAccess,
 }
 
--- a/crates/config/src/route_index.rs
+++ b/crates/config/src/route_index.rs
@@ -1,5 +1,5 @@
-//! Routes by what they refer to. Makes a restriction, a check of a delta and the question whom a delta concerns cost in
-//! proportion to the routes concerned.
+//! Index of routes by the entries that they reference. With it, the cost of restricting a snapshot, checking
+//! a delta and finding the scopes that a delta affects is proportional to the number of routes concerned.
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
 use crate::Route;
 use crate::record::RecordIndex;
 
-/// Routes by the service behind them, by caller and by secret.
+/// Routes by target service, by caller and by secret.
 #[derive(Debug, Clone, Default)]
 pub struct RouteIndex {
     by_service: OrdMap<ServiceName, OrdSet<RouteName>>,
@@ -18,7 +18,7 @@
 }
 
 impl RouteIndex {
-    /// Routes that point at `service`.
+    /// Routes that send requests to `service`.
     pub(crate) fn to_service(&self, service: &ServiceName) -> impl Iterator<Item = &RouteName> {
         self.by_service.get(service).into_iter().flatten()
     }
@@ -35,7 +35,7 @@
 }
 
 impl RecordIndex<Route> for RouteIndex {
-    fn replace(&mut self, name: &RouteName, old: Option<&Route>, new: Option<&Route>) {
+    fn update(&mut self, name: &RouteName, old: Option<&Route>, new: Option<&Route>) {
         let service = |route: &Route| route.services().cloned().collect();
         let callers = |route: &Route| route.callers.clone();
         let secrets = |route: &Route| route.credentials.iter().map(|used| used.secret.clone()).collect();
--- a/crates/config/src/scope.rs
+++ b/crates/config/src/scope.rs
@@ -5,13 +5,14 @@
 use bitcode::{Decode, Encode};
 use umberpond_model::ServiceName;
 
-/// What a node receives. Relays and readers receive everything (secret values stay sealed); every other node
-/// receives its own services, the routes they call, the services behind those and the secrets they use.
+/// The part of the configuration that a node receives. Relays and readers receive everything (secret values
+/// stay sealed); every other node receives its own services, the routes that they call, the target services
+/// of these routes and the secrets that they use.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Scope {
-    /// The whole snapshot.
+    /// The full snapshot.
     Full,
-    /// What these services need as callers, and the services themselves.
+    /// These services and everything that they need as callers.
     Callers(BTreeSet<ServiceName>),
 }
 
--- a/crates/config/src/seal_key.rs
+++ b/crates/config/src/seal_key.rs
@@ -1,4 +1,4 @@
-//! The public key of a service, and its text form.
+//! The public key of a service and its text form.
 
 use std::fmt;
 use std::str::FromStr;
@@ -17,7 +17,7 @@
 
 const HEX_DIGITS: &[u8; 16] = b"0123456789abcdef";
 
-/// A text that is no seal key.
+/// The text is not a valid seal key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("a seal key is written as 64 hexadecimal digits")]
 pub struct InvalidSealKey;
@@ -56,13 +56,13 @@
     }
 }
 
-/// A key as 64 hexadecimal digits.
+/// Encodes a key as 64 hexadecimal digits.
 pub(crate) fn encode_key(key: &[u8; SEAL_KEY_BYTES]) -> String {
     let digit = |value: u8| char::from(HEX_DIGITS[usize::from(value)]);
     key.iter().flat_map(|byte| [digit(byte >> 4), digit(byte & 0xf)]).collect()
 }
 
-/// Reads what [`encode_key`] wrote, in either case.
+/// Decodes the output of [`encode_key`]; accepts upper-case and lower-case digits.
 pub(crate) fn decode_key(text: &[u8]) -> Result<[u8; SEAL_KEY_BYTES], InvalidSealKey> {
     if text.len() != 2 * SEAL_KEY_BYTES {
         return Err(InvalidSealKey);
--- a/crates/config/src/secret.rs
+++ b/crates/config/src/secret.rs
@@ -1,4 +1,4 @@
-//! Secrets: sealed on the operator's machine for each service that may read them.
+//! Secrets, sealed on the operator's machine for each service that may read them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -16,7 +16,7 @@
     }
 }
 
-/// One secret as it is in force.
+/// A secret of the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Secret {
     /// Name of the secret.
@@ -26,7 +26,7 @@
 }
 
 impl Secret {
-    /// This secret with only the sealed values of the services in `readers`.
+    /// Returns this secret with only the sealed values of the services in `readers`.
     #[must_use]
     pub fn restrict(&self, readers: &BTreeSet<ServiceName>) -> Self {
         let kept = self.readers.iter().filter(|(reader, _)| readers.contains(*reader));
--- a/crates/config/src/secret_value.rs
+++ b/crates/config/src/secret_value.rs
@@ -1,22 +1,22 @@
-//! Clear secret values, kept apart from every text that people or files may see.
+//! Plaintext secret values, protected against output in logs, messages and files.
 
 use std::fmt;
 
 use zeroize::Zeroizing;
 
-/// A clear secret value. It has no `Display` and no `Serialize`, its `Debug` tells nothing, and its memory is
-/// overwritten when it is dropped.
+/// A plaintext secret value. It implements neither `Display` nor `Serialize`, its `Debug` output is redacted,
+/// and its memory is zeroed on drop.
 #[derive(Clone)]
 pub struct SecretValue(Zeroizing<Vec<u8>>);
 
 impl SecretValue {
-    /// Takes over the bytes of a value.
+    /// Wraps the bytes of a value.
     #[must_use]
     pub fn new(bytes: Vec<u8>) -> Self {
         Self(Zeroizing::new(bytes))
     }
 
-    /// The clear bytes, for the one place that puts them to use.
+    /// Returns the plaintext bytes. Call this only where the value is used.
     #[must_use]
     pub fn expose(&self) -> &[u8] {
         &self.0
--- a/crates/config/src/service.rs
+++ b/crates/config/src/service.rs
@@ -6,23 +6,23 @@
 
 use crate::SealKey;
 
-/// One service as it is in force.
+/// A service of the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Service {
     /// Name of the service.
     pub name: ServiceName,
-    /// Localities in which a request to this service may be served: a hard filter. Anywhere if empty, which a
-    /// bundle can't say.
+    /// Localities in which a request to this service may be served; a hard constraint. An empty list allows
+    /// all localities and can't be written in a bundle.
     pub allowed: Vec<LocalityRule>,
-    /// Requests one back end runs at once.
+    /// Number of concurrent requests of one back end.
     pub slots: u32,
-    /// Connections one back end accepts.
+    /// Number of connections that one back end accepts.
     pub connections: u32,
-    /// Key to which secrets for this service are sealed; absent if it may hold none.
+    /// Key to which secrets for this service are sealed; absent if it may read no secrets.
     pub seal_key: Option<SealKey>,
-    /// Path under which a back end tells whether it is well; absent if it tells nothing.
+    /// Path of a back end's health check; absent if it has none.
     pub health_path: Option<String>,
-    /// Requests that a back end bears while it is cold; absent if it bears as many as at other times.
+    /// Request rate that a cold back end can handle; absent if it is the same as for a warm one.
     pub cold_rate: Option<RequestRate>,
 }
 
--- a/crates/config/src/snapshot.rs
+++ b/crates/config/src/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots: one closed configuration, immutable, cheap to copy.
+//! Snapshots: closed, immutable configurations that are cheap to copy.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -11,10 +11,10 @@
 /// Regions and their zones.
 pub type Topology = BTreeMap<RegionName, BTreeSet<ZoneName>>;
 
-/// One configuration, whole or restricted to a scope. Copies share their content.
+/// A configuration, either full or restricted to a scope. Copies share their content.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Regions and zones that exist.
+    /// Existing regions and zones.
     pub topology: Topology,
     /// Limits on requests.
     pub limits: RequestLimits,
@@ -24,13 +24,13 @@
     pub routes: Entries<Route>,
     /// Secrets by name.
     pub secrets: Entries<Secret>,
-    /// Tenants by name; without any, requests need no key.
+    /// Tenants by name; if there are none, requests need no key.
     pub tenants: Entries<Tenant>,
 }
 
 impl Snapshot {
-    /// Hash of the content, equal for equal content however it was reached. Covers the topology, the limits and, of each entry,
-    /// the kind, the name and the entry's own hash.
+    /// Returns the content hash, which is equal for equal content regardless of how it was created. It covers
+    /// the topology, the limits and the kind, name and hash of each entry.
     #[must_use]
     pub fn content_hash(&self) -> ContentHash {
         let mut hasher = ContentHasher::new();
@@ -43,9 +43,10 @@
         hasher.finish()
     }
 
-    /// The part of this snapshot that `scope` covers. Closed if this snapshot is closed.
+    /// Returns the part of this snapshot that `scope` covers. It is closed if this snapshot is closed.
     ///
-    /// A secret keeps only the sealed values of services in the scope; a route keeps all its callers. All tenants are kept: the requests of each may enter anywhere.
+    /// A secret keeps only the sealed values of services in the scope; a route keeps all its callers. All
+    /// tenants are kept, because requests of any tenant can arrive at any node.
     #[must_use]
     pub fn restrict(&self, scope: &Scope) -> Self {
         let Scope::Callers(callers) = scope else {
@@ -62,13 +63,13 @@
         }
     }
 
-    /// The whole content as bytes; [`Snapshot::from_bytes`] reads it back.
+    /// Encodes the full content; [`Snapshot::from_bytes`] decodes it.
     #[must_use]
     pub fn to_bytes(&self) -> Vec<u8> {
         encoding::encode(&Delta::between(&Self::default(), self))
     }
 
-    /// Reads what [`Snapshot::to_bytes`] wrote.
+    /// Decodes the output of [`Snapshot::to_bytes`].
     ///
     /// # Errors
     /// Returns [`DecodeError`] for an unknown schema or damaged bytes.
--- a/crates/config/src/source/document.rs
+++ b/crates/config/src/source/document.rs
@@ -1,4 +1,4 @@
-//! From the files of a bundle to its entries.
+//! Reads the entries of a bundle from its files.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Display;
@@ -9,7 +9,7 @@
 use umberpond_model::{InvalidName, RegionName, RouteName, SecretName, ServiceName};
 
 use super::entries::{
-    INLINE_VALUE_KEYS, REGION_KEYS, ROUTE_KEYS, SECRET_KEYS, SERVICE_KEYS, STAND_IN_NAME, read_region,
+    INLINE_VALUE_KEYS, PLACEHOLDER_NAME, REGION_KEYS, ROUTE_KEYS, SECRET_KEYS, SERVICE_KEYS, read_region,
     read_route, read_secret, read_service,
 };
 use super::files::{Directory, SourceFile};
@@ -24,22 +24,22 @@
 /// A key of an entry.
 type EntryKey = (EntryName, String);
 
-/// Everything read from the files so far.
+/// All data read from the files so far.
 #[derive(Default)]
 pub(super) struct Collected {
-    /// The entries; secrets have empty sealed values. Entries without a usable name stand under a stand-in.
+    /// The entries; secrets have empty sealed values. Entries without a valid name have a placeholder name.
     pub(super) bundle: Bundle,
-    /// The secrets' sources.
+    /// Sources of the secrets' values.
     pub(super) secrets: BTreeMap<SecretName, SecretSource>,
     /// Faults found while reading.
     pub(super) faults: Vec<Fault>,
-    /// Line of each key.
+    /// Line number of each key.
     pub(super) key_lines: BTreeMap<EntryKey, u32>,
-    /// Keys that have a fault and hold a stand-in value.
+    /// Faulty keys, which have a placeholder value.
     pub(super) faulty_keys: BTreeSet<EntryKey>,
-    /// Stand-in names of entries, and the names as written.
+    /// Placeholder names of entries and the names as written.
     pub(super) written_names: BTreeMap<String, String>,
-    /// Whether some file could not be read to its end, so that names may be missing.
+    /// Whether a file could not be read completely, so that names may be missing.
     pub(super) is_partial: bool,
 }
 
@@ -83,7 +83,7 @@
         let name: RegionName = self.unique_name(&mut reader, |bundle| &bundle.topology);
         let value = read_region(&mut reader);
         let sourced = Sourced { origin: reader.origin(), value };
-        self.absorb(reader, EntryKind::Region, &name);
+        self.take_faults(reader, EntryKind::Region, &name);
         self.bundle.topology.insert(name, sourced);
     }
 
@@ -92,7 +92,7 @@
         let name: ServiceName = self.unique_name(&mut reader, |bundle| &bundle.services);
         let value = read_service(&mut reader, name.clone());
         let sourced = Sourced { origin: reader.origin(), value };
-        self.absorb(reader, EntryKind::Service, &name);
+        self.take_faults(reader, EntryKind::Service, &name);
         self.bundle.services.insert(name, sourced);
     }
 
@@ -101,7 +101,7 @@
         let name: RouteName = self.unique_name(&mut reader, |bundle| &bundle.routes);
         let value = read_route(&mut reader, name.clone());
         let sourced = Sourced { origin: reader.origin(), value };
-        self.absorb(reader, EntryKind::Route, &name);
+        self.take_faults(reader, EntryKind::Route, &name);
         self.bundle.routes.insert(name, sourced);
     }
 
@@ -113,14 +113,14 @@
         let readers = readers.into_iter().map(|reader| (reader, SealedValue(Vec::new()))).collect();
         let value = Secret { name: name.clone(), readers };
         let sourced = Sourced { origin: reader.origin(), value };
-        self.absorb(reader, EntryKind::Secret, &name);
+        self.take_faults(reader, EntryKind::Secret, &name);
         if let Some(source) = source {
             self.secrets.insert(name.clone(), source);
         }
         self.bundle.secrets.insert(name, sourced);
     }
 
-    /// The entry's name, or a stand-in that no other entry has if the name is faulty or taken.
+    /// Returns the entry's name, or a unique placeholder if the name is invalid or already used.
     fn unique_name<T: FromStr<Err = InvalidName> + Ord, V>(
         &mut self,
         reader: &mut TableReader<'_, '_>,
@@ -134,12 +134,12 @@
             (Some(_), Some(first)) => reader.key_fault("name", FaultKind::DuplicateName { first }),
             (None, _) => {}
         }
-        let stand_in = format!("{STAND_IN_NAME}-{}", self.written_names.len());
-        self.written_names.insert(stand_in.clone(), reader.entry_name().to_owned());
-        stand_in.parse().unwrap_or_else(|_| unreachable!("the stand-in follows the naming rule"))
+        let placeholder = format!("{PLACEHOLDER_NAME}-{}", self.written_names.len());
+        self.written_names.insert(placeholder.clone(), reader.entry_name().to_owned());
+        placeholder.parse().unwrap_or_else(|_| unreachable!("the placeholder follows the naming rule"))
     }
 
-    fn absorb(&mut self, mut reader: TableReader<'_, '_>, kind: EntryKind, name: &impl Display) {
+    fn take_faults(&mut self, mut reader: TableReader<'_, '_>, kind: EntryKind, name: &impl Display) {
         let entry = EntryName { kind, name: name.to_string() };
         let keys = reader.faults.iter().filter_map(|fault| fault.key.clone());
         self.faulty_keys.extend(keys.map(|key| (entry.clone(), key)));
@@ -148,7 +148,7 @@
         self.faults.append(&mut reader.faults);
     }
 
-    /// The `[[kind]]` tables of a file, each with its line.
+    /// Returns the `[[kind]]` tables of a file, each with its line number.
     fn entry_tables<'a, 'i>(
         &mut self,
         context: FileContext<'_>,
@@ -212,7 +212,7 @@
     Fault::of_file(origin, FaultKind::Syntax { message: error.message().to_owned() })
 }
 
-/// Whether `fault` may come only from what the parser left out after a syntax fault.
+/// Whether `fault` may only result from content that the parser skipped after a syntax error.
 fn follows_from(fault: &Fault, syntax: &[Fault]) -> bool {
     let is_left_out =
         matches!(fault.kind, FaultKind::MissingKey | FaultKind::MissingSchema | FaultKind::NoValueSource);
--- a/crates/config/src/source/entries.rs
+++ b/crates/config/src/source/entries.rs
@@ -1,4 +1,5 @@
-//! The entries of a bundle's files. A faulty key gets a stand-in value, so that the rest is still checked.
+//! Reads the entries of a bundle's files. A faulty key gets a placeholder value, so that the other keys are
+//! still checked.
 
 use std::collections::BTreeSet;
 
@@ -23,7 +24,8 @@
     "credentials",
 ];
 pub(super) const SECRET_KEYS: [&str; 4] = ["name", "readers", "file", "environment"];
-/// Keys under which people write a value in line; known only to be refused without repeating it.
+/// Keys under which operators may write a value inline. They are recognised so that the fault does not repeat
+/// the value.
 pub(super) const INLINE_VALUE_KEYS: [&str; 5] = ["value", "secret", "text", "inline", "data"];
 
 const LOCALITY_KEYS: [&str; 2] = ["region", "zone"];
@@ -35,11 +37,11 @@
     ("internal", RequestClass::Internal),
 ];
 
-/// Stands in for a name that is missing or faulty; the checker's faults about it are left out.
-pub(super) const STAND_IN_NAME: &str = "stand-in-for-a-faulty-name";
+/// Placeholder for a missing or invalid name; the checker's faults about it are not reported.
+pub(super) const PLACEHOLDER_NAME: &str = "stand-in-for-a-faulty-name";
 
-fn stand_in<T: std::str::FromStr>() -> T {
-    STAND_IN_NAME.parse().unwrap_or_else(|_| unreachable!("the stand-in follows the naming rule"))
+fn placeholder<T: std::str::FromStr>() -> T {
+    PLACEHOLDER_NAME.parse().unwrap_or_else(|_| unreachable!("the placeholder follows the naming rule"))
 }
 
 pub(super) fn read_region(table: &mut TableReader<'_, '_>) -> BTreeSet<ZoneName> {
@@ -62,7 +64,7 @@
 fn read_locality(table: &mut TableReader<'_, '_>) -> Option<LocalityRule> {
     let region: Option<RegionName> = table.name("region");
     let zone: Option<ZoneName> = table.optional_name("zone");
-    // A faulty zone must not widen the rule to the whole region.
+    // A faulty zone must not extend the rule to the whole region.
     let is_whole = table.faults.is_empty();
     region.filter(|_| is_whole).map(|region| LocalityRule { region, zone })
 }
@@ -79,7 +81,7 @@
 pub(super) fn read_route(table: &mut TableReader<'_, '_>, name: umberpond_model::RouteName) -> Route {
     Route {
         name,
-        service: table.name("service").unwrap_or_else(stand_in),
+        service: table.name("service").unwrap_or_else(placeholder),
         callers: table.names("callers"),
         path_prefix: table.text("path_prefix").unwrap_or("/").to_owned(),
         methods: table.optional_texts("methods"),
@@ -105,12 +107,12 @@
 }
 
 fn read_credential(table: &mut TableReader<'_, '_>) -> Option<HeaderCredential> {
-    let secret: SecretName = table.name("secret").unwrap_or_else(stand_in);
+    let secret: SecretName = table.name("secret").unwrap_or_else(placeholder);
     let header = table.text("header")?.to_owned();
     Some(HeaderCredential { header, secret })
 }
 
-/// Reads a secret. `None` stands for a value that couldn't be had.
+/// Reads a secret. The source is `None` if the value is not available.
 pub(super) fn read_secret(
     table: &mut TableReader<'_, '_>,
     directory: &Directory,
--- a/crates/config/src/source/files.rs
+++ b/crates/config/src/source/files.rs
@@ -1,4 +1,4 @@
-//! Reading a bundle's directory: bounded, and never outside it.
+//! Reads a bundle's directory with size limits, and never reads files outside it.
 
 use std::fs::{self, File};
 use std::io::{self, Read};
@@ -8,13 +8,13 @@
 
 use crate::{CheckReport, Fault, FaultKind, Origin, SecretValue};
 
-/// Largest file of a bundle, in bytes (1 MiB; 2,000 routes take about half of it).
+/// Maximum size of a bundle's file, in bytes (1 MiB; 2,000 routes take about half of it).
 pub const MAX_FILE_BYTES: u64 = 1 << 20;
-/// Largest sum of a bundle's files, in bytes (8 MiB).
+/// Maximum total size of a bundle's files, in bytes (8 MiB).
 pub const MAX_BUNDLE_BYTES: u64 = 8 << 20;
-/// Most files of a bundle.
+/// Maximum number of files of a bundle.
 pub const MAX_FILES: usize = 256;
-/// Largest secret value, in bytes (8 KiB, the usual limit of a header line).
+/// Maximum size of a secret value, in bytes (8 KiB, the usual limit of a header line).
 pub const MAX_SECRET_BYTES: u64 = 8 << 10;
 
 /// One file of a bundle.
@@ -25,7 +25,7 @@
     pub(super) text: String,
 }
 
-/// A bundle's directory with every link resolved.
+/// A bundle's directory with all symbolic links resolved.
 pub(super) struct Directory {
     root: PathBuf,
 }
@@ -40,7 +40,7 @@
         Ok(Self { root })
     }
 
-    /// All `*.toml` files in the order of their names, and a fault for each that can't be used.
+    /// Reads all `*.toml` files in the order of their names; returns a fault for each unusable file.
     pub(super) fn read(&self) -> (Vec<SourceFile>, Vec<Fault>) {
         let names = match self.file_names() {
             Ok(names) => names,
@@ -79,7 +79,7 @@
         }
         let bytes =
             read_at_most(&resolved, MAX_SECRET_BYTES + 2).map_err(|error| unreadable_value(&error))?;
-        fit_value(&bytes)
+        parse_header_value(&bytes)
     }
 
     fn file_names(&self) -> io::Result<Vec<PathBuf>> {
@@ -112,7 +112,8 @@
         std::str::from_utf8(&bytes).map(str::to_owned).map_err(|_| FaultKind::NotUtf8)
     }
 
-    /// Whether `resolved` is a regular file in the directory. A pipe or device is none, and is never opened.
+    /// Whether `resolved` is a regular file in the directory. Pipes and devices are not, so they are never
+    /// opened.
     fn holds_file(&self, resolved: &Path) -> bool {
         resolved.starts_with(&self.root) && resolved.is_file()
     }
@@ -122,8 +123,8 @@
     }
 }
 
-/// Takes one line of text that a header may carry; the line's end is no part of the value.
-pub(super) fn fit_value(bytes: &[u8]) -> Result<SecretValue, FaultKind> {
+/// Accepts one line of text that is valid as a header value; the line ending is not part of the value.
+pub(super) fn parse_header_value(bytes: &[u8]) -> Result<SecretValue, FaultKind> {
     let line = bytes.strip_suffix(b"\n").unwrap_or(bytes);
     let line = line.strip_suffix(b"\r").unwrap_or(line);
     let is_printable = line.iter().all(|byte| matches!(byte, b' '..=b'~'));
--- a/crates/config/src/source/lines.rs
+++ b/crates/config/src/source/lines.rs
@@ -1,8 +1,8 @@
-//! Byte offsets to lines.
+//! Converts byte offsets to line numbers.
 
 use std::ops::Range;
 
-/// Starts of the lines of one file.
+/// Offsets of the newlines in one file.
 pub(super) struct LineIndex(Vec<usize>);
 
 impl LineIndex {
@@ -11,7 +11,7 @@
         Self(newlines.map(|(offset, _)| offset).collect())
     }
 
-    /// Line in which `span` starts, counted from 1.
+    /// Returns the line number at which `span` starts; lines are counted from 1.
     pub(super) fn line(&self, span: &Range<usize>) -> u32 {
         let newlines_before = self.0.partition_point(|newline| *newline < span.start);
         u32::try_from(newlines_before).map_or(u32::MAX, |line| line.saturating_add(1))
--- a/crates/config/src/source/mod.rs
+++ b/crates/config/src/source/mod.rs
@@ -1,4 +1,5 @@
-//! Bundles as operators write them: a directory of TOML files, read whole, with all faults in one report.
+//! Bundles as operators write them: directories of TOML files. All faults of a bundle are collected in one
+//! report.
 
 mod document;
 mod entries;
@@ -14,17 +15,17 @@
 use umberpond_model::{SecretName, ServiceName};
 
 use document::Collected;
-use entries::STAND_IN_NAME;
-use files::{Directory, fit_value};
+use entries::PLACEHOLDER_NAME;
+use files::{Directory, parse_header_value};
 pub use files::{MAX_BUNDLE_BYTES, MAX_FILE_BYTES, MAX_FILES, MAX_SECRET_BYTES};
 pub use secret_source::{SecretSource, ValueSource};
 
-use crate::check::{check_alone, check_entries};
+use crate::check::{check_entries, check_references};
 use crate::{
     Bundle, CheckReport, EntryKind, EntryName, Fault, FaultKind, Origin, SealKey, SecretValue, seal,
 };
 
-/// A bundle as read from its directory, its secrets not yet sealed.
+/// A bundle read from its directory, with secrets that are not sealed yet.
 #[derive(Debug, Clone)]
 pub struct BundleSource {
     /// The entries; the sealed values are empty.
@@ -35,23 +36,23 @@
 /// Which references must resolve inside the bundle.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum References {
-    /// Other bundles may define what this one lacks.
-    MayLeadOut,
-    /// The bundle is all there is.
+    /// Other bundles may define the referenced entries.
+    MayBeExternal,
+    /// The bundle must define all referenced entries.
     MustResolve,
 }
 
 impl BundleSource {
-    /// Reads and checks the bundle in `directory` as a part of a whole: references to services, secrets and regions
-    /// that it doesn't define are left to [`crate::join`].
+    /// Reads and checks the bundle in `directory` as part of a larger configuration: references to services,
+    /// secrets and regions that it does not define are checked by [`crate::join`].
     ///
     /// # Errors
     /// Returns all faults at once.
     pub fn load(directory: &Path) -> Result<Self, CheckReport> {
-        Self::read(directory, References::MayLeadOut)
+        Self::read(directory, References::MayBeExternal)
     }
 
-    /// Reads and checks the bundle in `directory` as if no other were in force.
+    /// Reads and checks the bundle in `directory` as if no other were active.
     ///
     /// # Errors
     /// Returns all faults at once.
@@ -59,18 +60,19 @@
         Self::read(directory, References::MustResolve)
     }
 
-    /// Services that read a secret of this bundle and whose seal keys other bundles define.
+    /// Returns the services that read a secret of this bundle and are defined by other bundles, as are their
+    /// seal keys.
     #[must_use]
     pub fn foreign_readers(&self) -> BTreeSet<ServiceName> {
         let readers = self.secrets.values().flat_map(|secret| &secret.readers);
         readers.filter(|reader| !self.bundle.services.contains_key(*reader)).cloned().collect()
     }
 
-    /// Seals every secret to each of its readers. `keys` holds the seal keys of services that this bundle doesn't
-    /// define; `environment` looks up a variable of the command line's environment.
+    /// Seals every secret to each of its readers. `keys` contains the seal keys of services that this bundle
+    /// does not define; `environment` looks up an environment variable of the command line.
     ///
     /// # Errors
-    /// Returns a fault for each reader without a key and each variable that is absent or unfit.
+    /// Returns a fault for each reader without a key and each variable that is unset or has an invalid value.
     pub fn seal<R: CryptoRng + ?Sized>(
         &self,
         keys: &BTreeMap<ServiceName, SealKey>,
@@ -81,7 +83,7 @@
         let mut faults = Vec::new();
         for (name, secret) in &mut bundle.secrets {
             let Some(source) = self.secrets.get(name) else { continue };
-            let value = match clear_value(&source.value, &environment) {
+            let value = match plaintext_value(&source.value, &environment) {
                 Ok(value) => value,
                 Err(kind) => {
                     faults.push(secret_fault(name, &secret.origin, "environment", kind));
@@ -132,44 +134,44 @@
     }
 }
 
-/// Runs the checker over what was read, and leaves out what follows from faults that are reported already.
+/// Runs the checker on the collected entries and omits faults that result from faults reported already.
 fn check(collected: &Collected, references: References) -> Vec<Fault> {
-    let may_lead_out = references == References::MayLeadOut || collected.is_partial;
+    let may_be_external = references == References::MayBeExternal || collected.is_partial;
     let of_entries = check_entries(&collected.bundle).into_iter();
-    let of_whole = check_alone(&collected.bundle).into_iter();
+    let of_whole = check_references(&collected.bundle).into_iter();
     of_entries
-        .filter(|fault| !concerns_stand_in_value(fault, collected))
-        .chain(of_whole.filter(|fault| !(may_lead_out && leads_out(&fault.kind))))
-        .filter(|fault| !refers_to_stand_in(&fault.kind))
+        .filter(|fault| !concerns_placeholder(fault, collected))
+        .chain(of_whole.filter(|fault| !(may_be_external && is_external_reference(&fault.kind))))
+        .filter(|fault| !refers_to_placeholder(&fault.kind))
         .map(|fault| located(fault, collected))
         .collect()
 }
 
-/// Whether the checker saw a value that only stands in for a faulty one.
-fn concerns_stand_in_value(fault: &Fault, collected: &Collected) -> bool {
-    let may_stand_in =
+/// Whether the fault concerns the placeholder of a faulty value.
+fn concerns_placeholder(fault: &Fault, collected: &Collected) -> bool {
+    let may_be_placeholder =
         matches!(fault.kind, FaultKind::Empty | FaultKind::OutOfRange { .. } | FaultKind::BadPrefix { .. });
     let key = fault.entry.clone().zip(fault.key.clone());
-    may_stand_in && key.is_some_and(|key| collected.faulty_keys.contains(&key))
+    may_be_placeholder && key.is_some_and(|key| collected.faulty_keys.contains(&key))
 }
 
-/// Whether another bundle may define what the reference names.
-const fn leads_out(kind: &FaultKind) -> bool {
+/// Whether another bundle may define the referenced entry.
+const fn is_external_reference(kind: &FaultKind) -> bool {
     matches!(
         kind,
         FaultKind::UnknownRegion { .. } | FaultKind::UnknownService { .. } | FaultKind::UnknownSecret { .. }
     )
 }
 
-fn refers_to_stand_in(kind: &FaultKind) -> bool {
+fn refers_to_placeholder(kind: &FaultKind) -> bool {
     match kind {
-        FaultKind::UnknownService { service } => service.as_str() == STAND_IN_NAME,
-        FaultKind::UnknownSecret { secret } => secret.as_str() == STAND_IN_NAME,
+        FaultKind::UnknownService { service } => service.as_str() == PLACEHOLDER_NAME,
+        FaultKind::UnknownSecret { secret } => secret.as_str() == PLACEHOLDER_NAME,
         _ => false,
     }
 }
 
-/// Puts the line of the key and the name as written into a fault of the checker.
+/// Sets the line number of the key and the name as written in a fault of the checker.
 fn located(mut fault: Fault, collected: &Collected) -> Fault {
     let Some(mut entry) = fault.entry.take() else {
         return fault;
@@ -185,17 +187,18 @@
     fault
 }
 
-fn clear_value(
+fn plaintext_value(
     source: &ValueSource,
     environment: impl Fn(&str) -> Option<SecretValue>,
 ) -> Result<SecretValue, FaultKind> {
     match source {
         ValueSource::File(value) => Ok(value.clone()),
         ValueSource::Environment(variable) => {
-            // The variable isn't named: somebody may have written the value in its place.
+            // The message omits the variable's name, because an operator may have written the value in its
+            // place.
             let reason = "the environment variable is not set".to_owned();
             let value = environment(variable).ok_or(FaultKind::UnreadableValue { reason })?;
-            fit_value(value.expose())
+            parse_header_value(value.expose())
         }
     }
 }
--- a/crates/config/src/source/secret_source.rs
+++ b/crates/config/src/source/secret_source.rs
@@ -1,4 +1,4 @@
-//! Secrets before they are sealed.
+//! Secrets that are not sealed yet.
 
 use std::collections::BTreeSet;
 
@@ -6,20 +6,20 @@
 
 use crate::SecretValue;
 
-/// Where a secret's clear value comes from.
+/// Source of a secret's plaintext value.
 #[derive(Debug, Clone)]
 pub enum ValueSource {
     /// The value was read from a file of the bundle's directory.
     File(SecretValue),
-    /// The value stands in this environment variable of the command line.
+    /// The value is read from this environment variable of the command line.
     Environment(String),
 }
 
-/// A secret as a bundle's files describe it.
+/// A secret as described in a bundle's files.
 #[derive(Debug, Clone)]
 pub struct SecretSource {
     /// Services that may read the value.
     pub readers: BTreeSet<ServiceName>,
-    /// Where the value comes from.
+    /// Source of the value.
     pub value: ValueSource,
 }
--- a/crates/config/src/source/table.rs
+++ b/crates/config/src/source/table.rs
@@ -1,4 +1,4 @@
-//! Reading one TOML table key by key, collecting every fault instead of stopping at the first.
+//! Reads one TOML table key by key, collecting all faults instead of stopping at the first one.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::str::FromStr;
@@ -10,30 +10,30 @@
 use super::lines::LineIndex;
 use crate::{EntryName, Fault, FaultKind, Origin};
 
-/// The file that is being read.
+/// The file being read.
 #[derive(Clone, Copy)]
 pub(super) struct FileContext<'a> {
     pub(super) name: &'a str,
     pub(super) lines: &'a LineIndex,
 }
 
-/// A value and the line on which it stands.
-type Placed<'a, 'i> = (u32, &'a DeValue<'i>);
+/// A value with its line number.
+type LocatedValue<'a, 'i> = (u32, &'a DeValue<'i>);
 
-/// One table, what is known about its place, and the faults found in it.
+/// Reader of one table, with its location and the faults found in it.
 pub(super) struct TableReader<'a, 'i> {
     file: FileContext<'a>,
     table: &'a DeTable<'i>,
     line: u32,
     entry: Option<EntryName>,
-    /// Line of each key of the entry, for faults that only a later check finds.
+    /// Line number of each key of the entry, for faults that later checks find.
     pub(super) key_lines: BTreeMap<String, u32>,
     /// Faults found so far.
     pub(super) faults: Vec<Fault>,
 }
 
 impl<'a, 'i> TableReader<'a, 'i> {
-    /// Starts on `table`, whose header stands on `line`; every key outside `known` is a fault.
+    /// Creates a reader of `table`, whose header is on `line`. Every key that is not in `known` is a fault.
     pub(super) fn new(
         file: FileContext<'a>,
         table: &'a DeTable<'i>,
@@ -54,22 +54,22 @@
         reader
     }
 
-    /// Where the table stands.
+    /// Location of the table.
     pub(super) fn origin(&self) -> Origin {
         Origin { file: self.file.name.to_owned(), line: self.line }
     }
 
-    /// Name of the entry as written.
+    /// Name of the entry as written in the file.
     pub(super) fn entry_name(&self) -> &str {
         self.entry.as_ref().map_or("", |entry| &entry.name)
     }
 
-    /// Whether `key` is there, whatever its type.
+    /// Whether the table contains `key`, regardless of its type.
     pub(super) fn has(&self, key: &str) -> bool {
         self.table.contains_key(key)
     }
 
-    /// Adds a fault of `key`, on the key's line.
+    /// Adds a fault of `key` at the key's line.
     pub(super) fn key_fault(&mut self, key: &str, kind: FaultKind) {
         let line = self.key_lines.get(key).copied().unwrap_or(self.line);
         self.fault(line, key, kind);
@@ -89,7 +89,7 @@
         self.optional_text(key)
     }
 
-    /// Reads a checked name.
+    /// Reads and validates a name.
     pub(super) fn name<T: FromStr<Err = InvalidName>>(&mut self, key: &str) -> Option<T> {
         let text = self.text(key)?;
         self.checked(key, text)
@@ -100,7 +100,7 @@
         self.checked(key, text)
     }
 
-    /// Reads a list of checked names; listing one twice is a fault.
+    /// Reads and validates a list of names; a duplicate is a fault.
     pub(super) fn names<T>(&mut self, key: &str) -> BTreeSet<T>
     where
         T: FromStr<Err = InvalidName> + Ord + Clone,
@@ -110,7 +110,7 @@
         texts.into_iter().filter_map(|text| self.checked(key, &text)).collect()
     }
 
-    /// Reads a list of strings that may be absent; listing one twice is a fault.
+    /// Reads an optional list of strings; a duplicate is a fault.
     pub(super) fn optional_texts(&mut self, key: &str) -> BTreeSet<String> {
         let mut texts = BTreeSet::new();
         for (line, value) in self.optional_list(key) {
@@ -125,7 +125,7 @@
         texts
     }
 
-    /// Reads a list of tables and hands each to `read`.
+    /// Reads an optional list of tables and passes each to `read`.
     pub(super) fn tables<T>(
         &mut self,
         key: &str,
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Reads a whole number; one that doesn't fit `T` counts as zero, which no key allows.
+    /// Reads an integer. One that does not fit `T` becomes zero, which is out of range for every key.
     pub(super) fn number<T: TryFrom<i64> + Default>(&mut self, key: &str) -> Option<T> {
         self.require(key);
         let (line, value) = self.optional(key)?;
@@ -171,12 +171,12 @@
         flag
     }
 
-    fn optional(&self, key: &str) -> Option<Placed<'a, 'i>> {
+    fn optional(&self, key: &str) -> Option<LocatedValue<'a, 'i>> {
         let table: &'a DeTable<'i> = self.table;
-        table.get(key).map(|value| self.placed(value))
+        table.get(key).map(|value| self.locate(value))
     }
 
-    fn optional_list(&mut self, key: &str) -> Vec<Placed<'a, 'i>> {
+    fn optional_list(&mut self, key: &str) -> Vec<LocatedValue<'a, 'i>> {
         let Some((line, value)) = self.optional(key) else {
             return Vec::new();
         };
@@ -184,10 +184,10 @@
             self.wrong_type(line, key, "a list", value);
             return Vec::new();
         };
-        items.iter().map(|item| self.placed(item)).collect()
+        items.iter().map(|item| self.locate(item)).collect()
     }
 
-    fn placed(&self, value: &'a Spanned<DeValue<'i>>) -> Placed<'a, 'i> {
+    fn locate(&self, value: &'a Spanned<DeValue<'i>>) -> LocatedValue<'a, 'i> {
         (self.file.lines.line(&value.span()), value.get_ref())
     }
 
@@ -219,6 +219,6 @@
 
 fn integer(value: &DeValue<'_>) -> Option<i64> {
     let integer = value.as_integer()?;
-    // Numbers beyond 64 bits are whole numbers too, only never in any range.
+    // Integers beyond 64 bits have the right type but are out of range for every key.
     Some(i64::from_str_radix(integer.as_str(), integer.radix()).unwrap_or(i64::MIN))
 }
--- a/crates/config/src/tenant.rs
+++ b/crates/config/src/tenant.rs
@@ -1,4 +1,4 @@
-//! Tenants: whose requests they are, by what key that is known, and how many of them there may be.
+//! Tenants: their keys, priorities, quotas and home regions.
 
 use std::collections::BTreeSet;
 use std::fmt;
@@ -7,23 +7,23 @@
 use serde::{Deserialize, Serialize};
 use umberpond_model::{HomeRegions, RequestRate, TenantName};
 
-/// Domain separation from every other use of BLAKE3.
-const KEY_DOMAIN: &str = "umberpond 2026 tenant key 1";
-/// Bytes of a hash that are printed.
+/// Context string that separates this hash from other uses of BLAKE3.
+const KEY_CONTEXT: &str = "umberpond 2026 tenant key 1";
+/// Number of bytes of a hash that are printed.
 const PRINTED_BYTES: usize = 4;
 
-/// What is kept of a tenant's key: its hash, from which the key can't be found again. Two are compared in constant time.
+/// Hash of a tenant's key, from which the key can't be recovered. Hashes are compared in constant time.
 #[derive(Clone, Copy, Eq, PartialOrd, Ord, Encode, Decode, Serialize, Deserialize)]
 pub struct KeyHash([u8; 32]);
 
 impl KeyHash {
-    /// The hash of `key`.
+    /// Computes the hash of `key`.
     #[must_use]
     pub fn of(key: &[u8]) -> Self {
-        Self(blake3::derive_key(KEY_DOMAIN, key))
+        Self(blake3::derive_key(KEY_CONTEXT, key))
     }
 
-    /// The first bytes, by which entries are found; the rest is compared with `==`.
+    /// Returns the first bytes, which are used for lookups; the full hashes are then compared with `==`.
     #[must_use]
     pub fn prefix(&self) -> u64 {
         let mut first = [0; 8];
@@ -48,26 +48,26 @@
     }
 }
 
-/// How many requests a tenant may send, over all nodes together.
+/// Number of requests that a tenant may send, across all nodes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Quota {
-    /// Requests in the long run.
+    /// Long-term request rate.
     pub rate: RequestRate,
-    /// Requests beyond the rate that may come at once.
+    /// Number of requests that may exceed the rate in a burst.
     pub burst: u64,
 }
 
-/// One tenant as it is in force.
+/// A tenant of the active configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode, Serialize, Deserialize)]
 pub struct Tenant {
-    /// Name of the tenant, which back ends are told.
+    /// Name of the tenant, which is sent to back ends.
     pub name: TenantName,
-    /// The keys by which its requests are known.
+    /// Hashes of the keys that identify its requests.
     pub keys: BTreeSet<KeyHash>,
-    /// Rank of its requests among those for one back end, in place of the route's; 0 is served first.
+    /// Rank of its requests among those for one back end, which overrides the route's; 0 is served first.
     pub priority: Option<u8>,
-    /// How many requests it may send; any number if absent.
+    /// Request quota; unlimited if absent.
     pub quota: Option<Quota>,
-    /// Where its requests may be served.
+    /// Regions in which its requests may be served.
     pub homes: HomeRegions,
 }
