--- a/crates/config/src/touched.rs
+++ b/crates/config/src/touched.rs
@@ -1,4 +1,4 @@
-//! Whose part of the configuration a delta changes.
+//! The scopes whose part of the configuration a delta changes.
 
 use std::collections::BTreeSet;
 
@@ -6,17 +6,17 @@
 
 use crate::{Delta, Scope, Snapshot};
 
-/// Scopes whose restriction a delta may change. Of every other scope the restriction, and with it the hash, stays.
+/// Scopes whose restriction a delta may change. The restriction and hash of every other scope stay the same.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum TouchedScopes {
-    /// Every scope: the topology, the limits or the tenants change.
+pub enum ChangedScopes {
+    /// All scopes, because the topology, the limits or the tenants change.
     All,
-    /// The whole, and scopes with one of these callers.
+    /// The full scope and all scopes with one of these callers.
     Callers(BTreeSet<ServiceName>),
 }
 
-impl TouchedScopes {
-    /// The scopes that `delta` touches on its way from `before` to `after`, both whole.
+impl ChangedScopes {
+    /// Returns the scopes affected by `delta`, which changes `before` to `after`, both unrestricted.
     #[must_use]
     pub fn of(delta: &Delta, before: &Snapshot, after: &Snapshot) -> Self {
         if delta.topology.is_some() || delta.limits.is_some() || !delta.tenants.is_empty() {
@@ -24,7 +24,7 @@
         }
         let mut callers: BTreeSet<ServiceName> = delta.services.keys().cloned().collect();
         for snapshot in [before, after] {
-            for name in routes_concerned(delta, snapshot) {
+            for name in affected_routes(delta, snapshot) {
                 let route = snapshot.routes.get(name);
                 callers.extend(route.into_iter().flat_map(|route| route.callers.iter().cloned()));
             }
@@ -42,8 +42,8 @@
     }
 }
 
-/// Changed routes, and the routes of `snapshot` that refer to changed services or secrets.
-fn routes_concerned<'a>(delta: &'a Delta, snapshot: &'a Snapshot) -> BTreeSet<&'a RouteName> {
+/// Returns the changed routes and the routes of `snapshot` that reference changed services or secrets.
+fn affected_routes<'a>(delta: &'a Delta, snapshot: &'a Snapshot) -> BTreeSet<&'a RouteName> {
     let index = snapshot.routes.index();
     let of_services = delta.services.keys().flat_map(|name| index.to_service(name));
     let of_secrets = delta.secrets.keys().flat_map(|name| index.with_secret(name));
--- a/crates/config/tests/incremental.rs
+++ b/crates/config/tests/incremental.rs
@@ -1,4 +1,4 @@
-//! What is kept from change to change against what is computed from nothing.
+//! Compares incrementally maintained state with the same state computed from scratch.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use rand::{Rng, RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 use support::{name, random_scope, random_snapshot, route, scope, secret, service, with_credential};
-use umberpond_config::{Delta, RequestLimits, Scope, Snapshot, TouchedScopes};
+use umberpond_config::{ChangedScopes, Delta, RequestLimits, Scope, Snapshot};
 use umberpond_model::ServiceName;
 
 const SERVICES: [&str; 6] = ["archive", "billing", "solver", "web", "desk", "records"];
@@ -17,7 +17,8 @@
     names[rng.random_range(0..names.len())]
 }
 
-/// A delta from `before` that may leave references dangling, names wrong and secrets unsealed.
+/// A delta from `before` that may result in dangling references, wrong names and secrets that a caller can't
+/// open.
 fn random_delta(rng: &mut impl Rng, before: &Snapshot) -> Delta {
     let mut delta = match rng.random_range(0..3) {
         0 => Delta::between(before, &random_snapshot(rng.random())),
@@ -50,7 +51,7 @@
     }
 }
 
-/// The same content, entered anew in the opposite order.
+/// Rebuilds the same content in the opposite order.
 fn from_scratch(snapshot: &Snapshot) -> Snapshot {
     let services: Vec<_> =
         snapshot.services.iter().map(|(name, entry)| (name.clone(), entry.clone())).collect();
@@ -67,7 +68,7 @@
     }
 }
 
-/// The restriction by definition, without an index.
+/// Checks a restriction against its definition, without an index.
 fn restriction_holds(whole: &Snapshot, callers: &BTreeSet<ServiceName>, part: &Snapshot) -> bool {
     let called = whole.routes.iter().filter(|(_, route)| !route.callers.is_disjoint(callers));
     let routes: Vec<_> = called.collect();
@@ -85,7 +86,7 @@
     }
 }
 
-/// Applies up to 20 random deltas, closed or not, and hands each step to `holds`.
+/// Applies up to 20 random deltas, closed or not, and checks each step with `holds`.
 fn every_step(seed: u64, holds: impl Fn(&Snapshot, &Delta, &Snapshot) -> bool) -> bool {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let mut before = random_snapshot(seed);
@@ -99,34 +100,34 @@
 }
 
 quickcheck! {
-    fn the_kept_hash_is_the_hash_from_scratch(seed: u64) -> bool {
+    fn the_incremental_hash_matches_the_recomputed_hash(seed: u64) -> bool {
         every_step(seed, |_, _, after| {
             let scratch = from_scratch(after);
             scratch == *after && scratch.content_hash() == after.content_hash()
         })
     }
 
-    fn a_delta_is_what_two_separately_made_wholes_differ_in(seed: u64) -> bool {
+    fn shared_structure_never_changes_a_delta(seed: u64) -> bool {
         every_step(seed, |before, _, after| {
             let shared = Delta::between(before, after);
             shared == Delta::between(&from_scratch(before), &from_scratch(after)) && shared.apply(before) == *after
         })
     }
 
-    fn a_restriction_is_what_its_definition_says(seed: u64, scope: u64) -> bool {
+    fn a_restriction_matches_its_definition(seed: u64, scope: u64) -> bool {
         let scope = random_scope(scope);
         every_step(seed, |_, _, after| restriction_holds(after, callers_of(&scope), &after.restrict(&scope)))
     }
 
-    fn an_untouched_scope_sees_the_same(seed: u64, scope: u64) -> bool {
+    fn a_scope_outside_the_changed_scopes_stays_equal(seed: u64, scope: u64) -> bool {
         let scope = random_scope(scope);
         every_step(seed, |before, delta, after| {
-            let is_touched = TouchedScopes::of(delta, before, after).contains(&scope);
+            let is_touched = ChangedScopes::of(delta, before, after).contains(&scope);
             is_touched || before.restrict(&scope) == after.restrict(&scope)
         })
     }
 
-    fn the_verdict_on_a_delta_is_that_of_the_full_check(seed: u64, scope: u64) -> bool {
+    fn the_incremental_check_agrees_with_the_full_check(seed: u64, scope: u64) -> bool {
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         let scopes = [Scope::Full, random_scope(scope)];
         scopes.iter().all(|scope| {
@@ -141,7 +142,7 @@
 }
 
 #[test]
-fn random_deltas_lead_to_both_verdicts_and_to_both_kinds_of_scope() {
+fn random_deltas_cover_both_check_results_and_both_kinds_of_scope() {
     let mut rng = ChaCha8Rng::seed_from_u64(1);
     let (mut closed, mut touched) = (0, 0);
     for seed in 0..200 {
@@ -149,7 +150,7 @@
         let delta = random_delta(&mut rng, &before);
         let after = delta.apply(&before);
         closed += usize::from(after.check_closed_for(&Scope::Full).is_ok());
-        touched += usize::from(TouchedScopes::of(&delta, &before, &after).contains(&scope(&["web"])));
+        touched += usize::from(ChangedScopes::of(&delta, &before, &after).contains(&scope(&["web"])));
     }
     assert!((20..180).contains(&closed), "{closed} of 200 closed");
     assert!((20..180).contains(&touched), "{touched} of 200 touch the scope");
--- a/crates/config/tests/join.rs
+++ b/crates/config/tests/join.rs
@@ -1,4 +1,4 @@
-//! The checker of the joined whole.
+//! Tests of the checks on joined bundles.
 
 mod support;
 
@@ -13,7 +13,7 @@
     join(&in_force(bundles)).expect_err("has faults").faults
 }
 
-/// Text of the only fault.
+/// Returns the text of the only fault.
 fn only(bundles: Vec<(&str, Bundle)>) -> String {
     match &faults(bundles)[..] {
         [fault] => fault.to_string(),
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_name_defined_twice_names_both_bundles_with_file_and_line() {
+fn a_duplicate_definition_reports_both_bundles_with_file_and_line() {
     let text = only(vec![("base", base()), ("other", without_topology(&["web"], vec![], vec![]))]);
     assert_eq!(
         text,
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn withdrawing_what_others_reference_lists_every_reference() {
+fn a_withdrawal_reports_every_dangling_reference() {
     let bundles = vec![
         ("base", bundle(&["web"], vec![], vec![])),
         ("pages", pages()),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn each_reference_of_the_whole_must_resolve() {
+fn each_dangling_reference_is_reported() {
     let cases: Vec<(&str, Bundle)> = vec![
         (
             "service `ghost` does not exist",
@@ -113,11 +113,11 @@
     assert!(only(vec![("all", no_key)]).ends_with("reader `web` has no seal key"));
     let changed_key = with_web(|web| web.seal_key = Some(SealKey([8; 32])));
     let text = only(vec![("all", changed_key)]);
-    assert!(text.ends_with("not sealed to the key that reader `web` has in force"), "{text}");
+    assert!(text.ends_with("not sealed to the current key of reader `web`"), "{text}");
 }
 
 #[test]
-fn values_are_checked_again_whatever_the_bundle_came_from() {
+fn entry_checks_are_repeated_when_bundles_are_joined() {
     let mut bad = route("r", "web", &[], "/a/../b");
     bad.methods.insert("get".to_owned());
     bad.timeout.0 = 0;
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn path_prefixes_have_one_spelling() {
+fn path_prefixes_with_several_spellings_are_rejected() {
     for prefix in ["", "a", "/a/", "//", "/a//b", "/./a", "/a?b", "/a#b", "/%61", "/ä", "/a b"] {
         let text = only(vec![("all", bundle(&["web"], vec![route("r", "web", &["web"], prefix)], vec![]))]);
         assert!(text.contains("the path prefix"), "{prefix}: {text}");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn names_in_submitted_bytes_are_checked() {
+fn invalid_names_in_submitted_bytes_are_rejected() {
     let whole = bundle(&["archive"], vec![route("pages", "archive", &["visitor"], "/")], vec![]);
     assert_eq!(Bundle::from_bytes(&whole.to_bytes()).as_ref(), Ok(&whole));
     for written in ["north", "archive", "pages", "visitor"] {
--- a/crates/config/tests/plan.rs
+++ b/crates/config/tests/plan.rs
@@ -1,4 +1,4 @@
-//! Plans: what changes, for whom, and where traffic would become allowed.
+//! Tests of plans: changes, affected nodes and warnings about new localities.
 
 mod support;
 
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_plan_names_what_changes_and_only_the_nodes_concerned() {
+fn a_plan_lists_all_changes_and_only_affected_nodes() {
     let before = shop(|_| {});
     let after = shop(|bundle| {
         bundle.routes.get_mut("checks").expect("is there").value.timeout.0 += 1;
@@ -88,7 +88,7 @@
             && Plan::between(&before, &after).is_empty() == (before == after)
     }
 
-    fn a_service_outside_the_plan_receives_nothing(before: u64, after: u64) -> bool {
+    fn a_service_that_a_plan_omits_receives_no_delta(before: u64, after: u64) -> bool {
         let (before, after) = (random_snapshot(before), random_snapshot(after));
         let plan = Plan::between(&before, &after);
         ["archive", "billing", "solver", "web", "desk", "records"].iter().all(|service| {
--- a/crates/config/tests/sealing.rs
+++ b/crates/config/tests/sealing.rs
@@ -1,4 +1,4 @@
-//! Sealing: only the right key opens a value, under the right name, and no text shows it.
+//! Tests of sealing: only the right key and name open a value, and no debug output reveals it.
 
 mod support;
 
@@ -9,14 +9,14 @@
 use umberpond_config::{OpenError, SealKey, SealKeyPair, SealedValue, SecretValue, seal};
 use umberpond_model::SecretName;
 
-const CLEAR: &str = "Bearer correct-horse";
+const PLAINTEXT: &str = "Bearer correct-horse";
 
 fn key_pair(seed: u64) -> SealKeyPair {
     SealKeyPair::generate(&mut ChaCha20Rng::seed_from_u64(seed))
 }
 
 fn sealed_token(key: &SealKey) -> SealedValue {
-    let value = SecretValue::new(CLEAR.into());
+    let value = SecretValue::new(PLAINTEXT.into());
     seal(&name("token"), &value, key, &mut ChaCha20Rng::seed_from_u64(9)).expect("seals")
 }
 
@@ -24,12 +24,12 @@
     fn a_sealed_value_opens_to_itself(value: Vec<u8>, seed: u64) -> bool {
         let pair = key_pair(seed);
         let token: SecretName = name("token");
-        let clear = SecretValue::new(value.clone());
-        let sealed = seal(&token, &clear, &pair.public(), &mut ChaCha20Rng::seed_from_u64(!seed));
+        let plaintext = SecretValue::new(value.clone());
+        let sealed = seal(&token, &plaintext, &pair.public(), &mut ChaCha20Rng::seed_from_u64(!seed));
         pair.open(&token, &sealed.expect("seals")).expect("opens").expose() == value
     }
 
-    fn no_changed_cipher_text_opens(position: usize, change: u8) -> bool {
+    fn a_modified_ciphertext_never_opens(position: usize, change: u8) -> bool {
         let pair = key_pair(1);
         let mut sealed = sealed_token(&pair.public());
         let position = position % sealed.0.len();
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn another_key_and_another_name_are_refused() {
+fn another_key_or_name_never_opens_a_value() {
     let sealed = sealed_token(&key_pair(1).public());
     assert!(matches!(key_pair(2).open(&name("token"), &sealed), Err(OpenError::NotForThisKey)));
     assert!(matches!(key_pair(1).open(&name("tok"), &sealed), Err(OpenError::OtherSecret)));
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn keys_survive_their_text_form() {
+fn keys_round_trip_through_their_text_form() {
     let pair = key_pair(3);
     let text = pair.public().to_string();
     assert_eq!(text.parse(), Ok(pair.public()));
@@ -64,10 +64,10 @@
 }
 
 #[test]
-fn no_debug_text_shows_a_value_or_a_private_key() {
+fn debug_output_never_contains_a_value_or_private_key() {
     let pair = key_pair(4);
     let private = pair.private_text();
-    let value = SecretValue::new(CLEAR.into());
+    let value = SecretValue::new(PLAINTEXT.into());
     let texts = format!("{value:?} {pair:?} {private:?} {:?}", sealed_token(&pair.public()));
     assert!(!texts.contains("horse"));
     assert!(!texts.contains(std::str::from_utf8(private.expose()).expect("hexadecimal")));
--- a/crates/config/tests/snapshot.rs
+++ b/crates/config/tests/snapshot.rs
@@ -1,4 +1,4 @@
-//! Snapshots, deltas and restriction.
+//! Tests of snapshots, deltas and restriction.
 
 mod support;
 
@@ -7,13 +7,13 @@
 use umberpond_config::{Bundle, ClosureError, DecodeError, Delta, Snapshot, join};
 
 quickcheck! {
-    fn a_delta_leads_to_the_same_content_and_hash(before: u64, after: u64) -> bool {
+    fn applying_a_delta_results_in_the_same_content_and_hash(before: u64, after: u64) -> bool {
         let (before, after) = (random_snapshot(before), random_snapshot(after));
         let reached = Delta::between(&before, &after).apply(&before);
         reached == after && reached.content_hash() == after.content_hash()
     }
 
-    fn a_delta_inside_a_scope_leads_to_the_restriction(before: u64, after: u64, seed: u64) -> bool {
+    fn a_delta_within_a_scope_results_in_the_restriction(before: u64, after: u64, seed: u64) -> bool {
         let scope = random_scope(seed);
         let before = random_snapshot(before).restrict(&scope);
         let after = random_snapshot(after).restrict(&scope);
@@ -32,13 +32,13 @@
         (one == other) == (one.content_hash() == other.content_hash())
     }
 
-    fn snapshots_and_deltas_survive_their_encoding(before: u64, after: u64) -> bool {
+    fn snapshots_and_deltas_round_trip_through_their_encoding(before: u64, after: u64) -> bool {
         let (before, after) = (random_snapshot(before), random_snapshot(after));
         let delta = Delta::between(&before, &after);
         Snapshot::from_bytes(&after.to_bytes()) == Ok(after) && Delta::from_bytes(&delta.to_bytes()) == Ok(delta)
     }
 
-    fn random_bytes_are_refused_without_a_panic(bytes: Vec<u8>) -> bool {
+    fn random_bytes_never_cause_a_panic(bytes: Vec<u8>) -> bool {
         let framed: Vec<u8> = [1].into_iter().chain(bytes.iter().copied()).collect();
         let _ = (Snapshot::from_bytes(&framed), Delta::from_bytes(&framed), Bundle::from_bytes(&framed));
         match bytes.first() {
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn each_kind_of_dangling_reference_is_found() {
+fn each_kind_of_dangling_reference_is_reported() {
     let whole = two_callers();
     let mut without_service = whole.clone();
     without_service.services.remove("archive");
--- a/crates/config/tests/source.rs
+++ b/crates/config/tests/source.rs
@@ -1,4 +1,5 @@
-//! Bundles on disk: every fault in one report, no secret in any text, nothing read outside the directory.
+//! Tests of reading bundles from disk: all faults are in one report, no text contains a secret, and no file
+//! outside the directory is read.
 
 mod support;
 
@@ -15,14 +16,14 @@
     Bundle, BundleSource, CheckReport, Fault, FaultKind, MAX_FILE_BYTES, SealKeyPair, SecretValue, join,
 };
 
-/// Clear text that no report may repeat.
-const CLEAR: &str = "hunter2-in-clear";
+/// Plaintext that no report may contain.
+const PLAINTEXT: &str = "hunter2-in-clear";
 
 const REGION: &str = "schema = 1\n[[region]]\nname = \"north\"\nzones = [\"a\", \"b\"]\n";
 const SERVICE: &str =
     "[[service]]\nname = \"web\"\nallowed = [{ region = \"north\" }]\nslots = 1\nconnections = 1\n";
 
-/// A fresh directory of the given files.
+/// Creates a new directory with the given files.
 fn directory(test: &str, files: &[(&str, &[u8])]) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join("source").join(test);
     let _ = fs::remove_dir_all(&path);
@@ -48,7 +49,7 @@
 }
 
 #[test]
-fn ten_different_faults_come_in_one_report() {
+fn all_faults_are_in_one_report() {
     let services = "schema = 1
 [[region]]
 name = 'north'
@@ -87,7 +88,7 @@
 [[secret]]
 name = 'pasted'
 readers = ['web']
-value = '{CLEAR}'
+value = '{PLAINTEXT}'
 "
     );
     let path = directory("ten", &[("a.toml", services.as_bytes()), ("b.toml", routes.as_bytes())]);
@@ -121,35 +122,35 @@
     let json = serde_json::to_string(&report).expect("serializes");
     assert_eq!(serde_json::from_str::<CheckReport>(&json).expect("reads back"), report);
     let text = rendered(&report);
-    assert!(!text.contains(CLEAR), "{text}");
+    assert!(!text.contains(PLAINTEXT), "{text}");
     for part in ["a.toml:8", "must be from 1 to", "choose a number in the range"] {
         assert!(text.contains(part), "{part} in {text}");
     }
 }
 
 #[test]
-fn no_report_repeats_a_value_however_the_file_is_broken() {
+fn a_report_on_a_malformed_file_never_contains_a_secret() {
     let secret = "schema = 1\n[[secret]]\nname = 'token'\nreaders = ['web']\n";
     let endings = [
-        format!("value = '{CLEAR}'\n"),
-        format!("password = '{CLEAR}'\n"),
-        format!("value = '{CLEAR}\n"),
-        format!("value = {CLEAR}\n"),
-        format!("file = ['{CLEAR}']\n"),
-        format!("file = {{ inline = '{CLEAR}' }}\n"),
-        format!("environment = '{CLEAR}'\n"),
-        format!("value = '{CLEAR}'\nvalue = '{CLEAR}'\n"),
-        format!("'{CLEAR}\n"),
+        format!("value = '{PLAINTEXT}'\n"),
+        format!("password = '{PLAINTEXT}'\n"),
+        format!("value = '{PLAINTEXT}\n"),
+        format!("value = {PLAINTEXT}\n"),
+        format!("file = ['{PLAINTEXT}']\n"),
+        format!("file = {{ inline = '{PLAINTEXT}' }}\n"),
+        format!("environment = '{PLAINTEXT}'\n"),
+        format!("value = '{PLAINTEXT}'\nvalue = '{PLAINTEXT}'\n"),
+        format!("'{PLAINTEXT}\n"),
     ];
     for (index, ending) in endings.iter().enumerate() {
         let report = load(&format!("broken-{index}"), &format!("{secret}{ending}")).expect_err("has faults");
         let text = rendered(&report);
-        assert!(!text.contains(CLEAR), "ending {index}: {text}");
+        assert!(!text.contains(PLAINTEXT), "ending {index}: {text}");
     }
 }
 
 #[test]
-fn two_syntax_faults_and_a_fault_elsewhere_are_all_told() {
+fn syntax_faults_never_hide_each_other_or_faults_elsewhere() {
     let text =
         format!("{REGION}broken = \n[[service]]\nname = \"web\"\nslots = = 3\n[[route]]\nname = \"Bad\"\n");
     let faults = faults("syntax", &text);
@@ -163,7 +164,7 @@
 }
 
 #[test]
-fn a_part_may_refer_to_other_bundles_and_a_whole_may_not() {
+fn only_load_accepts_references_to_other_bundles() {
     let path = directory("part", &[("all.toml", format!("schema = 1\n{SERVICE}").as_bytes())]);
     assert!(BundleSource::load(&path).is_ok());
     let report = BundleSource::load_whole(&path).expect_err("north is unknown");
@@ -171,7 +172,7 @@
 }
 
 #[test]
-fn unusable_files_and_directories_are_typed_faults() {
+fn unusable_files_and_directories_are_reported() {
     let kind = |path: &Path| BundleSource::load(path).expect_err("unusable").faults.remove(0).kind;
     assert!(matches!(kind(Path::new("no/such/place")), FaultKind::Unreadable { .. }));
     assert_eq!(kind(&directory("empty", &[("notes.txt", b"")])), FaultKind::NoFiles);
@@ -189,7 +190,7 @@
 #[cfg(unix)]
 #[test]
 fn links_that_leave_the_directory_are_not_followed() {
-    let outside = directory("outside", &[("a.toml", REGION.as_bytes()), ("value", CLEAR.as_bytes())]);
+    let outside = directory("outside", &[("a.toml", REGION.as_bytes()), ("value", PLAINTEXT.as_bytes())]);
     let secret = "schema = 1\n[[secret]]\nname = 'token'\nreaders = ['web']\nfile = 'value'\n";
     let path = directory("links", &[("b.toml", secret.as_bytes())]);
     for file in ["a.toml", "value"] {
@@ -201,7 +202,7 @@
 }
 
 #[test]
-fn values_that_no_header_may_carry_are_refused() {
+fn values_that_are_invalid_in_a_header_are_rejected() {
     let text = format!(
         "{REGION}{SERVICE}seal_key = \"{}\"\n[[secret]]\nname = \"token\"\nreaders = [\"web\"]\nfile = \"value\"\n",
         "ab".repeat(32)
@@ -247,7 +248,7 @@
 fn the_examples_load_seal_and_join_together() {
     let environment = |variable: &str| {
         assert_eq!(variable, "CARRIER_TOKEN");
-        Some(SecretValue::new(CLEAR.into()))
+        Some(SecretValue::new(PLAINTEXT.into()))
     };
     let seal = |source: BundleSource| {
         let rng = &mut ChaCha20Rng::seed_from_u64(1);
@@ -262,18 +263,18 @@
     let json = serde_json::to_string(&*bundles["gridwell"]).expect("serializes");
     assert_eq!(serde_json::from_str::<Bundle>(&json).expect("reads back"), *bundles["gridwell"]);
     let bytes = String::from_utf8_lossy(&bundles["tasmania"].to_bytes()).into_owned();
-    assert!(!bytes.contains(CLEAR), "the clear value is in the bundle's bytes");
+    assert!(!bytes.contains(PLAINTEXT), "the clear value is in the bundle's bytes");
 }
 
 #[test]
-fn a_reader_of_another_bundle_needs_its_key_and_an_absent_variable_is_a_fault() {
+fn a_missing_reader_key_or_variable_is_reported() {
     let text = "schema = 1\n[[secret]]\nname = 'token'\nreaders = ['desk']\nenvironment = 'TOKEN'\n";
     let path = directory("foreign", &[("a.toml", text.as_bytes())]);
     let source = BundleSource::load(&path).expect("a part");
     assert_eq!(source.foreign_readers(), [name("desk")].into());
 
     let rng = &mut ChaCha20Rng::seed_from_u64(1);
-    let value = |_: &str| Some(SecretValue::new(CLEAR.into()));
+    let value = |_: &str| Some(SecretValue::new(PLAINTEXT.into()));
     let report = source.seal(&BTreeMap::new(), value, rng).expect_err("no key");
     assert!(matches!(report.faults[0].kind, FaultKind::ReaderWithoutSealKey { .. }));
 
@@ -284,11 +285,11 @@
 
     let bundle = source.seal(&keys, value, rng).expect("seals");
     let sealed = &bundle.secrets["token"].value.readers["desk"];
-    assert_eq!(pair.open(&name("token"), sealed).expect("opens").expose(), CLEAR.as_bytes());
+    assert_eq!(pair.open(&name("token"), sealed).expect("opens").expose(), PLAINTEXT.as_bytes());
 }
 
 #[test]
-fn the_operators_page_shows_the_examples_as_they_are() {
+fn the_examples_in_the_documentation_match_the_files() {
     let root = Path::new(env!("CARGO_MANIFEST_DIR")).join("../..");
     let page = fs::read_to_string(root.join("docs/BUNDLES.md")).expect("reads");
     for example in ["gridwell", "tasmania"] {
--- a/crates/config/tests/support/mod.rs
+++ b/crates/config/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Small configurations for tests, made from a seed or by hand.
+//! Small configurations for tests, generated from a seed or built from given entries.
 #![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -40,7 +40,7 @@
     Secret { name: name(text), readers: readers.iter().map(sealed).collect() }
 }
 
-/// A value sealed to the key that [`service`] gives every service.
+/// A value sealed to the key of all services created by [`service`].
 fn sealed_value() -> SealedValue {
     static SEALED: OnceLock<SealedValue> = OnceLock::new();
     let value = SecretValue::new(b"clear".to_vec());
@@ -101,7 +101,7 @@
     Scope::Callers(callers.iter().map(|caller| name(caller)).collect())
 }
 
-/// A closed snapshot made from `seed`; snapshots of neighbouring seeds share many names.
+/// Generates a closed snapshot from `seed`. Snapshots of different seeds share many names.
 pub fn random_snapshot(seed: u64) -> Snapshot {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let services = random_names(&mut rng);
@@ -129,7 +129,7 @@
     route
 }
 
-/// A scope of one to two of the services that [`random_snapshot`] uses.
+/// Generates a scope of one or two of the services that [`random_snapshot`] uses.
 pub fn random_scope(seed: u64) -> Scope {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     let names = random_names(&mut rng);
--- a/crates/store/src/backoff.rs
+++ b/crates/store/src/backoff.rs
@@ -1,7 +1,8 @@
 //! Exponential backoff with full jitter.
 //!
-//! Each wait is drawn evenly between zero and a bound that doubles, so that many processes that failed at the
-//! same moment do not come back at the same moment (Brooker, "Exponential Backoff And Jitter", 2015).
+//! Each delay is drawn uniformly between zero and a bound that doubles with every failure, so that processes
+//! that failed at the same time do not retry at the same time (Brooker, "Exponential Backoff And Jitter",
+//! 2015).
 
 use std::time::Duration;
 
@@ -10,9 +11,9 @@
 /// Bounds of a backoff.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct BackoffSettings {
-    /// Upper bound of the first wait.
+    /// Upper bound of the first delay.
     pub base: Duration,
-    /// Upper bound of every wait, and of what is added to a wait that the platform asked for.
+    /// Upper bound of every delay, and of the jitter added to a `Retry-After` delay of the platform.
     pub cap: Duration,
 }
 
@@ -22,10 +23,10 @@
     }
 }
 
-/// Largest exponent of the doubling; the cap is reached long before with any sensible base.
+/// Largest exponent of the doubling. With any reasonable base the cap applies long before.
 const MAX_DOUBLINGS: u32 = 16;
 
-/// The waits between the tries of one task.
+/// The delays between the attempts of one task.
 #[derive(Debug, Clone)]
 pub struct Backoff {
     settings: BackoffSettings,
@@ -33,13 +34,13 @@
 }
 
 impl Backoff {
-    /// A backoff without a failure yet.
+    /// Creates a backoff without failures.
     #[must_use]
     pub const fn new(settings: BackoffSettings) -> Self {
         Self { settings, failures: 0 }
     }
 
-    /// Forgets the failures; called after a success.
+    /// Resets the failure count; called after a success.
     pub const fn reset(&mut self) {
         self.failures = 0;
     }
@@ -50,8 +51,8 @@
         self.failures
     }
 
-    /// Counts one failure and draws the wait before the next try. A wait that the platform asked for is kept
-    /// in full, and the jitter comes on top of it.
+    /// Counts one failure and draws the delay before the next attempt. The jitter is added to `retry_after`,
+    /// so the delay that the platform requested is always observed in full.
     pub fn next_wait(&mut self, rng: &mut impl Rng, retry_after: Option<Duration>) -> Duration {
         let doublings = self.failures.min(MAX_DOUBLINGS);
         self.failures = self.failures.saturating_add(1);
--- a/crates/store/src/client.rs
+++ b/crates/store/src/client.rs
@@ -1,4 +1,4 @@
-//! The client over HTTP/1.1.
+//! The client of the platform over HTTP/1.1.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 use umberpond_model::NodeName;
 use umberpond_net::Network;
 
-use crate::exchange::{Exchange, RequestParts, decode_json, object_version, refusal};
+use crate::exchange::{Exchange, RequestParts, decode_json, object_version, status_error};
 use crate::watch::open_watch;
 use crate::{
     ClientSettings, ListPage, Object, ObjectKind, ObjectStore, ObjectVersion, PlatformError, PlatformGate,
     Revision, UnknownCause, WatchError, WatchStream,
 };
 
-/// Client of one platform address. Cheap to clone; all clones share the gate.
+/// Client of one platform address. Cheap to clone; all clones share the [`PlatformGate`].
 #[derive(Clone)]
 pub struct PlatformClient {
     pub(crate) exchange: Exchange,
@@ -33,7 +33,7 @@
 }
 
 impl PlatformClient {
-    /// A client of the platform at `address` whose requests pass `gate`.
+    /// Creates a client of the platform at `address` whose requests are limited by `gate`.
     #[must_use]
     pub fn new(
         network: Arc<dyn Network>,
@@ -44,7 +44,7 @@
         Self { exchange: Exchange { network, address, gate, settings, node: None } }
     }
 
-    /// Names the node in every request, so that the platform can count its readers.
+    /// Sends the node's name with every request, so that the platform can count its readers.
     #[must_use]
     pub fn named(mut self, node: NodeName) -> Self {
         self.exchange.node = Some(node);
@@ -56,22 +56,22 @@
     format!("/v1/objects/{kind}/{name}")
 }
 
-/// The answer to a change: the version that stands after it, or what stood in its way.
-fn changed(response: &Response<Bytes>) -> Result<ObjectVersion, PlatformError> {
+/// Converts the response to a write: the object's new version, or why the write failed.
+fn write_result(response: &Response<Bytes>) -> Result<ObjectVersion, PlatformError> {
     match response.status() {
         StatusCode::OK | StatusCode::CREATED => {
             object_version(response).ok_or(PlatformError::OutcomeUnknown { cause: UnknownCause::Malformed })
         }
-        StatusCode::CONFLICT => Err(PlatformError::Conflict { standing: object_version(response) }),
+        StatusCode::CONFLICT => Err(PlatformError::Conflict { current: object_version(response) }),
         StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
-        _ => Err(refusal(response)),
+        _ => Err(status_error(response)),
     }
 }
 
 #[async_trait]
 impl ObjectStore for PlatformClient {
     async fn get(&self, kind: ObjectKind, name: &str) -> Result<Option<Object>, PlatformError> {
-        let request = RequestParts::new(Method::GET, object_path(kind, name)).named(name);
+        let request = RequestParts::new(Method::GET, object_path(kind, name)).check_name(name);
         let response = self.exchange.run(request).await?;
         match response.status() {
             StatusCode::OK => {
@@ -80,7 +80,7 @@
                 Ok(Some(Object { version, value: response.into_body() }))
             }
             StatusCode::NOT_FOUND => Ok(None),
-            _ => Err(refusal(&response)),
+            _ => Err(status_error(&response)),
         }
     }
 
@@ -92,11 +92,11 @@
     ) -> Result<ListPage, PlatformError> {
         let after = after.unwrap_or_default();
         let path = format!("/v1/objects/{kind}?after={after}&limit={limit}");
-        let request = RequestParts::new(Method::GET, path).named(after);
+        let request = RequestParts::new(Method::GET, path).check_name(after);
         let response = self.exchange.run(request).await?;
         match response.status() {
             StatusCode::OK => decode_json(response.body()),
-            _ => Err(refusal(&response)),
+            _ => Err(status_error(&response)),
         }
     }
 
@@ -106,8 +106,8 @@
         name: &str,
         value: Bytes,
     ) -> Result<ObjectVersion, PlatformError> {
-        let request = RequestParts::new(Method::POST, object_path(kind, name)).named(name).body(value);
-        changed(&self.exchange.run(request).await?)
+        let request = RequestParts::new(Method::POST, object_path(kind, name)).check_name(name).body(value);
+        write_result(&self.exchange.run(request).await?)
     }
 
     async fn put_if(
@@ -118,10 +118,10 @@
         value: Bytes,
     ) -> Result<ObjectVersion, PlatformError> {
         let request = RequestParts::new(Method::PUT, object_path(kind, name))
-            .named(name)
+            .check_name(name)
             .if_match(expected)
             .body(value);
-        changed(&self.exchange.run(request).await?)
+        write_result(&self.exchange.run(request).await?)
     }
 
     async fn delete(
@@ -131,13 +131,13 @@
         expected: ObjectVersion,
     ) -> Result<(), PlatformError> {
         let request =
-            RequestParts::new(Method::DELETE, object_path(kind, name)).named(name).if_match(expected);
+            RequestParts::new(Method::DELETE, object_path(kind, name)).check_name(name).if_match(expected);
         let response = self.exchange.run(request).await?;
         match response.status() {
             StatusCode::OK | StatusCode::NO_CONTENT => Ok(()),
-            StatusCode::CONFLICT => Err(PlatformError::Conflict { standing: object_version(&response) }),
+            StatusCode::CONFLICT => Err(PlatformError::Conflict { current: object_version(&response) }),
             StatusCode::NOT_FOUND => Err(PlatformError::NotFound),
-            _ => Err(refusal(&response)),
+            _ => Err(status_error(&response)),
         }
     }
 
--- a/crates/store/src/exchange.rs
+++ b/crates/store/src/exchange.rs
@@ -1,4 +1,4 @@
-//! One request and its answer, with the time limit and the sorting of failures.
+//! One request and its response, with the time limit and the classification of errors.
 
 use std::io;
 use std::net::SocketAddr;
@@ -23,10 +23,10 @@
 /// Header that carries an object's version.
 const OBJECT_VERSION: &str = "object-version";
 
-/// Header that names the node that asks.
+/// Header with the name of the requesting node.
 const NODE: &str = "umberpond-node";
 
-/// Where requests go and under which limits.
+/// The target of requests and the limits that apply to them.
 #[derive(Clone)]
 pub(crate) struct Exchange {
     pub(crate) network: Arc<dyn Network>,
@@ -36,23 +36,23 @@
     pub(crate) node: Option<NodeName>,
 }
 
-/// A request before it has a connection.
+/// A request that has not been sent yet.
 pub(crate) struct RequestParts {
     method: Method,
     path: String,
     expected: Option<ObjectVersion>,
     body: Bytes,
-    name_is_usable: bool,
+    name_is_valid: bool,
 }
 
 impl RequestParts {
     pub(crate) const fn new(method: Method, path: String) -> Self {
-        Self { method, path, expected: None, body: Bytes::new(), name_is_usable: true }
+        Self { method, path, expected: None, body: Bytes::new(), name_is_valid: true }
     }
 
-    /// Notes a name that stands in the path, to be checked before sending.
-    pub(crate) fn named(mut self, name: &str) -> Self {
-        self.name_is_usable &=
+    /// Checks a name that is part of the path; a request with an invalid name is not sent.
+    pub(crate) fn check_name(mut self, name: &str) -> Self {
+        self.name_is_valid &=
             name.bytes().all(|byte| byte.is_ascii_alphanumeric() || matches!(byte, b'-' | b'.' | b'_'));
         self
     }
@@ -72,9 +72,9 @@
         address: SocketAddr,
         node: Option<&NodeName>,
     ) -> Result<Request<Full<Bytes>>, PlatformError> {
-        let unusable = || PlatformError::NotSent { cause: NotSentCause::UnusableName };
-        if !self.name_is_usable {
-            return Err(unusable());
+        let invalid_name = || PlatformError::NotSent { cause: NotSentCause::InvalidName };
+        if !self.name_is_valid {
+            return Err(invalid_name());
         }
         let mut builder =
             Request::builder().method(self.method).uri(self.path).header(HOST, address.to_string());
@@ -84,53 +84,53 @@
         if let Some(expected) = self.expected {
             builder = builder.header(IF_MATCH, expected.0);
         }
-        builder.body(Full::new(self.body)).map_err(|_| unusable())
+        builder.body(Full::new(self.body)).map_err(|_| invalid_name())
     }
 }
 
 impl Exchange {
-    /// Sends a request and reads its whole answer within the time limit.
+    /// Sends a request and reads the complete response within the time limit.
     pub(crate) async fn run(&self, parts: RequestParts) -> Result<Response<Bytes>, PlatformError> {
-        let deadline = Instant::now() + self.settings.request_limit;
+        let deadline = Instant::now() + self.settings.request_timeout;
         let permit = self.gate.enter(deadline).await?;
         let exchange = self.send(parts, deadline).await?;
         let body = collect_body(exchange, self.settings.max_object_bytes);
-        let response = timeout_at(deadline, body).await.map_err(|_| unknown(UnknownCause::TimeLimit))?;
+        let response = timeout_at(deadline, body).await.map_err(|_| unknown(UnknownCause::Timeout))?;
         drop(permit);
         response.map_err(|error| {
             let oversized = is_over_limit(&error);
-            unknown(if oversized { UnknownCause::Oversized } else { UnknownCause::Broken })
+            unknown(if oversized { UnknownCause::ResponseTooLarge } else { UnknownCause::ConnectionLost })
         })
     }
 
-    /// Sends a request and reads the head of its answer until `deadline`.
+    /// Sends a request and reads the head of the response until `deadline`.
     pub(crate) async fn send(
         &self,
         parts: RequestParts,
         deadline: Instant,
     ) -> Result<HttpExchange, PlatformError> {
         let request = parts.build(self.address, self.node.as_ref())?;
-        let network = ConnectNoted::new(Arc::clone(&self.network));
+        let network = ConnectionTracker::new(Arc::clone(&self.network));
         match timeout_at(deadline, send_request(&network, self.address, request)).await {
             Ok(Ok(exchange)) => Ok(exchange),
             Ok(Err(HttpClientError::Connect { .. })) => {
-                Err(PlatformError::NotSent { cause: NotSentCause::NoConnection })
+                Err(PlatformError::NotSent { cause: NotSentCause::ConnectionFailed })
             }
-            Ok(Err(_)) => Err(unknown(UnknownCause::Broken)),
-            Err(_) if network.connected() => Err(unknown(UnknownCause::TimeLimit)),
-            Err(_) => Err(PlatformError::NotSent { cause: NotSentCause::ConnectTimeLimit }),
+            Ok(Err(_)) => Err(unknown(UnknownCause::ConnectionLost)),
+            Err(_) if network.connected() => Err(unknown(UnknownCause::Timeout)),
+            Err(_) => Err(PlatformError::NotSent { cause: NotSentCause::ConnectTimeout }),
         }
     }
 }
 
-/// Passes connections through and notes whether one was made, so that a time limit that ends an exchange
-/// before that is known to have sent nothing.
-struct ConnectNoted {
+/// Forwards connection attempts and records whether one succeeded. If the time limit passes before that,
+/// nothing was sent.
+struct ConnectionTracker {
     network: Arc<dyn Network>,
     connected: AtomicBool,
 }
 
-impl ConnectNoted {
+impl ConnectionTracker {
     const fn new(network: Arc<dyn Network>) -> Self {
         Self { network, connected: AtomicBool::new(false) }
     }
@@ -141,7 +141,7 @@
 }
 
 #[async_trait]
-impl Network for ConnectNoted {
+impl Network for ConnectionTracker {
     async fn connect(&self, to: SocketAddr) -> io::Result<BoxStream> {
         let stream = self.network.connect(to).await?;
         self.connected.store(true, Ordering::Release);
@@ -157,13 +157,13 @@
     PlatformError::OutcomeUnknown { cause }
 }
 
-/// The object version that an answer carries.
+/// The object version in the headers of a response.
 pub(crate) fn object_version<B>(response: &Response<B>) -> Option<ObjectVersion> {
     response.headers().get(OBJECT_VERSION)?.to_str().ok()?.parse().ok().map(ObjectVersion)
 }
 
-/// The failure that a status without a meaning of its own stands for.
-pub(crate) fn refusal<B>(response: &Response<B>) -> PlatformError {
+/// The error for a status that the request does not handle itself.
+pub(crate) fn status_error<B>(response: &Response<B>) -> PlatformError {
     let status = response.status();
     if matches!(status, StatusCode::TOO_MANY_REQUESTS | StatusCode::SERVICE_UNAVAILABLE) {
         return PlatformError::Refused { retry_after: retry_after(response) };
@@ -181,7 +181,7 @@
     response.headers().get(RETRY_AFTER)?.to_str().ok()?.parse().ok().map(Duration::from_secs)
 }
 
-/// Decodes a JSON answer.
+/// Decodes the JSON body of a response.
 pub(crate) fn decode_json<T: DeserializeOwned>(body: &Bytes) -> Result<T, PlatformError> {
     serde_json::from_slice(body).map_err(|_| PlatformError::OutcomeUnknown { cause: UnknownCause::Malformed })
 }
--- a/crates/store/src/gate.rs
+++ b/crates/store/src/gate.rs
@@ -1,4 +1,4 @@
-//! One limit on the requests of a process towards the platform.
+//! The limit on concurrent platform requests of one process.
 
 use std::sync::Arc;
 
@@ -7,24 +7,24 @@
 
 use crate::{NotSentCause, PlatformError};
 
-/// Limits of one process.
+/// Limits on the concurrent requests of one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GateLimits {
-    /// Requests under way at once, watches not counted.
+    /// Concurrent requests, not counting watches.
     pub requests: usize,
-    /// Watches open at once.
+    /// Concurrent watches.
     pub watches: usize,
 }
 
 impl Default for GateLimits {
     /// Four requests and four watches: a reader watches the head and the machine list, and may reopen both
-    /// before the old ones are seen to have ended.
+    /// before it detects that the old ones have ended.
     fn default() -> Self {
         Self { requests: 4, watches: 4 }
     }
 }
 
-/// Admits the requests of a process, in the order in which they ask. All clients of a process share one.
+/// Limits the concurrent requests of a process, first come, first served. All clients of a process share one.
 #[derive(Debug, Clone)]
 pub struct PlatformGate {
     requests: Arc<Semaphore>,
@@ -32,7 +32,7 @@
 }
 
 impl PlatformGate {
-    /// A gate with these limits.
+    /// Creates a gate with these limits.
     #[must_use]
     pub fn new(limits: GateLimits) -> Self {
         Self {
@@ -41,12 +41,12 @@
         }
     }
 
-    /// Waits for a place for one request, at most until `deadline`.
+    /// Waits for a permit for one request, at most until `deadline`.
     pub(crate) async fn enter(&self, deadline: Instant) -> Result<OwnedSemaphorePermit, PlatformError> {
         permit(&self.requests, deadline).await
     }
 
-    /// Waits for a place for one watch, at most until `deadline`.
+    /// Waits for a permit for one watch, at most until `deadline`.
     pub(crate) async fn enter_watch(&self, deadline: Instant) -> Result<OwnedSemaphorePermit, PlatformError> {
         permit(&self.watches, deadline).await
     }
@@ -58,7 +58,7 @@
 ) -> Result<OwnedSemaphorePermit, PlatformError> {
     match timeout_at(deadline, Arc::clone(semaphore).acquire_owned()).await {
         Ok(Ok(permit)) => Ok(permit),
-        // A closed semaphore never opens again; this one is never closed, but the answer would be the same.
-        Ok(Err(_)) | Err(_) => Err(PlatformError::NotSent { cause: NotSentCause::GateBusy }),
+        // The semaphore is never closed; if it were, no permit would become available either.
+        Ok(Err(_)) | Err(_) => Err(PlatformError::NotSent { cause: NotSentCause::TooManyRequests }),
     }
 }
--- a/crates/store/src/lib.rs
+++ b/crates/store/src/lib.rs
@@ -1,7 +1,8 @@
 //! Client of the store's object API: versioned objects and watches.
 //!
-//! The platform is the only durable store and bears few readers, so every request of a process passes one
-//! [`PlatformGate`]. Every failed change says whether it may have happened; see [`PlatformError`].
+//! The platform is the only durable store and supports few concurrent readers, so one [`PlatformGate`] limits
+//! all requests of a process. The error of a failed change states whether it may have taken effect; see
+//! [`PlatformError`].
 
 mod backoff;
 mod client;
--- a/crates/store/src/memory.rs
+++ b/crates/store/src/memory.rs
@@ -1,7 +1,7 @@
-//! A platform in memory with injectable faults, for tests.
+//! An in-memory platform with fault injection, for tests.
 //!
-//! [`MemoryPlatform`] holds the objects; each [`MemoryStore`] is one process's client of it, with faults and
-//! counters of its own. The rules of versions and conditions are those of the platform's protocol.
+//! [`MemoryPlatform`] holds the objects; each [`MemoryStore`] is one process's client of it, with its own
+//! faults and counters. Versions and conditional writes follow the platform's protocol.
 
 mod faults;
 mod state;
@@ -16,7 +16,7 @@
 use parking_lot::Mutex;
 use tokio::time::sleep;
 
-pub use faults::{Fault, RequestNote, Verb};
+pub use faults::{Fault, RequestInfo, Verb};
 use state::{Change, State};
 
 use crate::{
@@ -24,26 +24,26 @@
     UnknownCause, WatchError, WatchEvent, WatchStream,
 };
 
-/// The platform itself: objects, their history, and changes that are still on their way.
+/// The platform: objects, their history, and delayed changes that have not arrived yet.
 #[derive(Debug, Clone, Default)]
 pub struct MemoryPlatform {
     state: Arc<Mutex<State>>,
 }
 
 impl MemoryPlatform {
-    /// A platform without objects.
+    /// Creates a platform without objects.
     #[must_use]
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// A new client without faults.
+    /// Creates a client without faults.
     #[must_use]
     pub fn client(&self) -> MemoryStore {
         MemoryStore { platform: self.clone(), faults: Arc::default(), counters: Arc::default() }
     }
 
-    /// Lets every change that [`Fault::Delayed`] held back arrive, in order; tells how many took effect.
+    /// Applies the changes delayed by [`Fault::Delayed`], in order; returns how many took effect.
     pub fn release_delayed(&self) -> usize {
         let mut state = self.state.lock();
         let delayed = std::mem::take(&mut state.delayed);
@@ -55,8 +55,8 @@
         self.state.lock().cut_watches();
     }
 
-    /// Keeps only the last `changes` changes for watches; older ones are answered as too old.
-    pub fn keep_changes(&self, changes: usize) {
+    /// Keeps only the last `changes` changes for watches; a watch that needs older ones fails as too old.
+    pub fn limit_history(&self, changes: usize) {
         self.state.lock().set_window(changes);
     }
 
@@ -66,32 +66,32 @@
         self.state.lock().objects_of(kind)
     }
 
-    /// Puts an object whatever stood there before, for tests that damage data.
+    /// Writes an object unconditionally, for tests with damaged data.
     pub fn overwrite(&self, kind: ObjectKind, name: &str, value: Bytes) -> ObjectVersion {
         self.state.lock().record(kind, name, Some(value))
     }
 }
 
-/// What a client has asked of the platform.
+/// Counters of the requests that a client has made.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Counters {
     /// Requests by verb and kind, failed ones included.
     pub requests: BTreeMap<(Verb, ObjectKind), u64>,
-    /// Bytes of the bodies of all creations and replacements.
+    /// Total body size of all `create` and `put_if` requests, in bytes.
     pub bytes_written: u64,
-    /// Bytes of all objects read.
+    /// Total size of all objects read, in bytes.
     pub bytes_read: u64,
 }
 
 impl Counters {
-    /// Requests of all verbs and kinds.
+    /// Number of requests of all verbs and kinds.
     #[must_use]
     pub fn total(&self) -> u64 {
         self.requests.values().sum()
     }
 }
 
-type FaultPlan = Box<dyn FnMut(&RequestNote) -> Fault + Send>;
+type FaultPlan = Box<dyn FnMut(&RequestInfo) -> Fault + Send>;
 
 #[derive(Default)]
 struct Faults {
@@ -108,25 +108,27 @@
 }
 
 impl MemoryStore {
-    /// Asks `plan` before each request which fault it meets. Replaces an earlier plan; the index goes on.
-    pub fn set_faults(&self, plan: impl FnMut(&RequestNote) -> Fault + Send + 'static) {
+    /// Calls `plan` before each request to select its fault. Replaces an earlier plan; the request index
+    /// continues.
+    pub fn set_faults(&self, plan: impl FnMut(&RequestInfo) -> Fault + Send + 'static) {
         self.faults.lock().plan = Some(Box::new(plan));
     }
 
-    /// Ends all faults.
+    /// Removes the fault plan.
     pub fn clear_faults(&self) {
         self.faults.lock().plan = None;
     }
 
-    /// What this client has asked so far.
+    /// Counters of the requests made so far.
     #[must_use]
     pub fn counters(&self) -> Counters {
         self.counters.lock().clone()
     }
 
-    /// Counts the request and waits out its slowness; the fault that remains.
-    async fn meet_fault(&self, verb: Verb, kind: ObjectKind, name: &str, bytes: usize) -> Fault {
-        let fault = self.draw_fault(verb, kind, name, bytes);
+    /// Counts the request and selects its fault. Waits for the delay of [`Fault::Slow`] and then returns
+    /// [`Fault::None`].
+    async fn next_fault(&self, verb: Verb, kind: ObjectKind, name: &str, bytes: usize) -> Fault {
+        let fault = self.plan_fault(verb, kind, name, bytes);
         if let Fault::Slow(duration) = fault {
             sleep(duration).await;
             return Fault::None;
@@ -134,14 +136,14 @@
         fault
     }
 
-    fn draw_fault(&self, verb: Verb, kind: ObjectKind, name: &str, bytes: usize) -> Fault {
+    fn plan_fault(&self, verb: Verb, kind: ObjectKind, name: &str, bytes: usize) -> Fault {
         let mut counters = self.counters.lock();
         *counters.requests.entry((verb, kind)).or_default() += 1;
         counters.bytes_written += bytes as u64;
         let mut faults = self.faults.lock();
-        let note = RequestNote { index: faults.next_index, verb, kind, name: name.to_owned() };
+        let info = RequestInfo { index: faults.next_index, verb, kind, name: name.to_owned() };
         faults.next_index += 1;
-        faults.plan.as_mut().map_or(Fault::None, |plan| plan(&note))
+        faults.plan.as_mut().map_or(Fault::None, |plan| plan(&info))
     }
 
     async fn read<T>(
@@ -151,25 +153,25 @@
         name: &str,
         read: impl FnOnce(&State) -> T + Send,
     ) -> Result<T, PlatformError> {
-        match self.meet_fault(verb, kind, name, 0).await {
+        match self.next_fault(verb, kind, name, 0).await {
             Fault::None | Fault::Slow(_) => Ok(read(&self.platform.state.lock())),
             Fault::NotSent => Err(not_sent()),
             Fault::Refused { retry_after } => Err(PlatformError::Refused { retry_after }),
-            Fault::LostRequest | Fault::LostAnswer | Fault::Delayed => Err(unknown()),
+            Fault::LostRequest | Fault::LostResponse | Fault::Delayed => Err(unknown()),
         }
     }
 
     async fn change(&self, verb: Verb, change: Change) -> Result<ObjectVersion, PlatformError> {
         let bytes = change.value.as_ref().map_or(0, Bytes::len);
-        let fault = self.meet_fault(verb, change.kind, &change.name, bytes).await;
+        let fault = self.next_fault(verb, change.kind, &change.name, bytes).await;
         let mut state = self.platform.state.lock();
         match fault {
             Fault::None | Fault::Slow(_) => state.apply(change),
             Fault::NotSent => Err(not_sent()),
             Fault::Refused { retry_after } => Err(PlatformError::Refused { retry_after }),
             Fault::LostRequest => Err(unknown()),
-            Fault::LostAnswer => {
-                // The outcome is what the caller does not learn.
+            Fault::LostResponse => {
+                // The response is lost, so the caller does not get the result.
                 let _ = state.apply(change);
                 Err(unknown())
             }
@@ -182,11 +184,11 @@
 }
 
 const fn not_sent() -> PlatformError {
-    PlatformError::NotSent { cause: NotSentCause::NoConnection }
+    PlatformError::NotSent { cause: NotSentCause::ConnectionFailed }
 }
 
 const fn unknown() -> PlatformError {
-    PlatformError::OutcomeUnknown { cause: UnknownCause::Broken }
+    PlatformError::OutcomeUnknown { cause: UnknownCause::ConnectionLost }
 }
 
 #[async_trait]
--- a/crates/store/src/memory/faults.rs
+++ b/crates/store/src/memory/faults.rs
@@ -1,10 +1,10 @@
-//! Faults of one request.
+//! Faults that can be injected into a request.
 
 use std::time::Duration;
 
 use crate::ObjectKind;
 
-/// What a request does.
+/// The operation of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Verb {
     /// Read one object.
@@ -13,20 +13,20 @@
     List,
     /// Create an object.
     Create,
-    /// Replace an object under a condition.
+    /// Replace an object if it has the expected version.
     Put,
-    /// Delete an object under a condition.
+    /// Delete an object if it has the expected version.
     Delete,
     /// Open a watch.
     Watch,
 }
 
-/// A request as a fault plan sees it.
+/// Description of a request that is passed to a fault plan.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct RequestNote {
-    /// Count of the client's requests before this one.
+pub struct RequestInfo {
+    /// Number of requests of the client before this one.
     pub index: u64,
-    /// What the request does.
+    /// Operation of the request.
     pub verb: Verb,
     /// Kind of the object.
     pub kind: ObjectKind,
@@ -34,24 +34,26 @@
     pub name: String,
 }
 
-/// The fault that a request meets.
+/// The fault injected into a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
-    /// None.
+    /// No fault.
     None,
     /// The platform can't be reached: the request is not sent.
     NotSent,
-    /// The platform refuses for overload.
+    /// The platform refuses the request because of overload.
     Refused {
-        /// The wait that it asks for.
+        /// The `Retry-After` delay.
         retry_after: Option<Duration>,
     },
-    /// The request is lost on its way: no effect, and the caller can't tell.
+    /// The request is lost in transit: it has no effect, but the caller only knows that the outcome is
+    /// unknown.
     LostRequest,
-    /// The request takes effect, and its answer is lost.
-    LostAnswer,
-    /// The caller gives up, and the request arrives at [`super::MemoryPlatform::release_delayed`].
+    /// The request takes effect, and its response is lost.
+    LostResponse,
+    /// The caller gives up, and the change arrives at the next call of
+    /// [`super::MemoryPlatform::release_delayed`].
     Delayed,
-    /// The request takes effect after this time and is answered then.
+    /// The request takes effect and completes after this time.
     Slow(Duration),
 }
--- a/crates/store/src/memory/state.rs
+++ b/crates/store/src/memory/state.rs
@@ -1,4 +1,4 @@
-//! Objects and their history.
+//! The in-memory platform's objects and their history.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound;
@@ -10,10 +10,10 @@
     ListItem, ListPage, Object, ObjectKind, ObjectVersion, PlatformError, Revision, WatchError, WatchEvent,
 };
 
-/// Changes kept for watches unless a test asks for fewer.
+/// Number of changes kept for watches unless a test sets a lower limit.
 const DEFAULT_WINDOW: usize = 100_000;
 
-/// A change under its condition: no expected version creates, no value deletes.
+/// A conditional change. Without an expected version it creates the object, without a value it deletes it.
 #[derive(Debug, Clone)]
 pub(super) struct Change {
     pub(super) kind: ObjectKind,
@@ -28,10 +28,10 @@
     objects: BTreeMap<(ObjectKind, String), Object>,
     history: VecDeque<(ObjectKind, WatchEvent)>,
     window: usize,
-    /// Newest revision whose change has left the window.
-    forgotten: Revision,
-    /// Count of cuts of all watches.
-    cuts: u64,
+    /// Newest revision whose change is no longer in the history.
+    compacted_revision: Revision,
+    /// Incremented to end all open watches.
+    watch_generation: u64,
     wake: watch::Sender<()>,
     pub(super) delayed: Vec<Change>,
 }
@@ -43,8 +43,8 @@
             objects: BTreeMap::new(),
             history: VecDeque::new(),
             window: DEFAULT_WINDOW,
-            forgotten: Revision(0),
-            cuts: 0,
+            compacted_revision: Revision(0),
+            watch_generation: 0,
             wake: watch::Sender::new(()),
             delayed: Vec::new(),
         }
@@ -56,13 +56,13 @@
 pub(super) struct Subscription {
     kind: ObjectKind,
     after: Revision,
-    cuts: u64,
+    watch_generation: u64,
     wake: watch::Receiver<()>,
 }
 
 impl Subscription {
     pub(super) async fn wait(&mut self) {
-        // The sender lives as long as the platform; without one there is nothing to wait for.
+        // The sender lives as long as the platform; once it is dropped, no change can follow.
         if self.wake.changed().await.is_err() {
             std::future::pending::<()>().await;
         }
@@ -95,18 +95,18 @@
 
     /// Applies a change if its condition holds.
     pub(super) fn apply(&mut self, change: Change) -> Result<ObjectVersion, PlatformError> {
-        let standing = self.object(change.kind, &change.name).map(|object| object.version);
-        match (change.expected, standing) {
+        let current = self.object(change.kind, &change.name).map(|object| object.version);
+        match (change.expected, current) {
             (Some(_), None) => return Err(PlatformError::NotFound),
-            (expected, standing) if expected != standing => {
-                return Err(PlatformError::Conflict { standing });
+            (expected, current) if expected != current => {
+                return Err(PlatformError::Conflict { current });
             }
             _ => {}
         }
         Ok(self.record(change.kind, &change.name, change.value))
     }
 
-    /// Makes a change without a condition.
+    /// Applies a change unconditionally.
     pub(super) fn record(&mut self, kind: ObjectKind, name: &str, value: Option<Bytes>) -> ObjectVersion {
         self.revision.0 += 1;
         let version = ObjectVersion(self.revision.0);
@@ -130,30 +130,30 @@
     fn trim(&mut self) {
         while self.history.len() > self.window {
             if let Some((_, event)) = self.history.pop_front() {
-                self.forgotten = event.revision;
+                self.compacted_revision = event.revision;
             }
         }
     }
 
     pub(super) fn cut_watches(&mut self) {
-        self.cuts += 1;
+        self.watch_generation += 1;
         self.wake.send_replace(());
     }
 
     pub(super) fn subscribe(&self, kind: ObjectKind, after: Revision) -> Result<Subscription, WatchError> {
-        if after < self.forgotten {
-            return Err(WatchError::TooOld { oldest: self.forgotten });
+        if after < self.compacted_revision {
+            return Err(WatchError::TooOld { oldest: self.compacted_revision });
         }
-        Ok(Subscription { kind, after, cuts: self.cuts, wake: self.wake.subscribe() })
+        Ok(Subscription { kind, after, watch_generation: self.watch_generation, wake: self.wake.subscribe() })
     }
 
-    /// The next change for a watch, if there is one yet.
+    /// Returns the next change for a watch, if there is one.
     pub(super) fn next_for(&self, watch: &mut Subscription) -> Result<Option<WatchEvent>, WatchError> {
-        if watch.cuts != self.cuts {
+        if watch.watch_generation != self.watch_generation {
             return Err(WatchError::Closed);
         }
-        if watch.after < self.forgotten {
-            return Err(WatchError::TooOld { oldest: self.forgotten });
+        if watch.after < self.compacted_revision {
+            return Err(WatchError::TooOld { oldest: self.compacted_revision });
         }
         let next = self
             .history
--- a/crates/store/src/object.rs
+++ b/crates/store/src/object.rs
@@ -1,43 +1,43 @@
-//! Objects as the platform keeps them.
+//! Objects, versions and revisions of the platform.
 
 use std::fmt;
 
 use bytes::Bytes;
 use serde::Deserialize;
 
-/// Position in the platform's one sequence of changes, over all kinds of objects. Never reused.
+/// Position in the platform's single sequence of changes across all kinds of objects. Never reused.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(transparent)]
 pub struct Revision(pub u64);
 
-/// The [`Revision`] of an object's last change. Two states of one object never share a version.
+/// The [`Revision`] of an object's last change. No two states of an object have the same version.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Deserialize)]
 #[serde(transparent)]
 pub struct ObjectVersion(pub u64);
 
 impl ObjectVersion {
-    /// The revision at which the object took this state; a watch after it sees every later change.
+    /// The revision that wrote this state; a watch that starts after it receives every later change.
     #[must_use]
     pub const fn revision(self) -> Revision {
         Revision(self.0)
     }
 }
 
-/// The kinds of objects that umberpond keeps on the platform.
+/// The kinds of objects that umberpond stores on the platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ObjectKind {
-    /// The one mutable configuration object, which names the newest version.
+    /// The only mutable configuration object; refers to the newest version.
     Head,
-    /// Immutable objects named by the hash of their bytes.
+    /// Immutable, content-addressed objects: each is named by the hash of its bytes.
     Content,
     /// Aggregated status written by readers.
     Status,
-    /// What each node writes of itself, so that others find it.
+    /// The directory entry that each node writes so that other nodes can discover it.
     Nodes,
 }
 
 impl ObjectKind {
-    /// The kind's name in the platform's paths.
+    /// The kind's name in request paths.
     #[must_use]
     pub const fn as_str(self) -> &'static str {
         match self {
@@ -55,12 +55,12 @@
     }
 }
 
-/// One object as it stood when it was read.
+/// One object in the state in which it was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Object {
     /// Version of this state.
     pub version: ObjectVersion,
-    /// The bytes.
+    /// Content of the object.
     pub value: Bytes,
 }
 
@@ -73,18 +73,18 @@
     pub version: ObjectVersion,
 }
 
-/// One page of a list, in the order of the names.
+/// One page of a list, ordered by name.
 #[derive(Debug, Clone, PartialEq, Eq, Deserialize)]
 pub struct ListPage {
-    /// Revision of the platform when the page was made.
+    /// Revision of the platform at which the page was read.
     pub revision: Revision,
     /// The objects of the page.
     pub items: Vec<ListItem>,
-    /// Whether objects follow after the last item.
+    /// Whether there are further objects after the last item.
     pub more: bool,
 }
 
-/// One change seen by a watch.
+/// One change reported by a watch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct WatchEvent {
     /// Revision of the change.
--- a/crates/store/src/store.rs
+++ b/crates/store/src/store.rs
@@ -1,4 +1,4 @@
-//! The object store as the rest of the daemon sees it.
+//! The object store interface.
 
 use async_trait::async_trait;
 use bytes::Bytes;
@@ -6,22 +6,23 @@
 
 use crate::{ListPage, Object, ObjectKind, ObjectVersion, PlatformError, Revision, WatchError, WatchEvent};
 
-/// Changes as they come. It ends after its first error; the caller opens a new watch.
+/// Changes in the order of their revisions. The stream ends after its first error; the caller opens a new
+/// watch.
 pub type WatchStream = BoxStream<'static, Result<WatchEvent, WatchError>>;
 
-/// Versioned objects. Every method ends within a bounded time, except that a watch stays open.
+/// A store of versioned objects. Every method completes within a bounded time; an open watch stays open.
 #[async_trait]
 pub trait ObjectStore: Send + Sync + 'static {
     /// Reads an object; `None` if it does not exist.
     ///
     /// # Errors
-    /// Returns [`PlatformError`] when no answer came.
+    /// Returns [`PlatformError`] if the request fails.
     async fn get(&self, kind: ObjectKind, name: &str) -> Result<Option<Object>, PlatformError>;
 
     /// Lists at most `limit` objects whose names follow `after`.
     ///
     /// # Errors
-    /// Returns [`PlatformError`] when no answer came.
+    /// Returns [`PlatformError`] if the request fails.
     async fn list(
         &self,
         kind: ObjectKind,
@@ -32,7 +33,7 @@
     /// Creates an object that does not exist yet.
     ///
     /// # Errors
-    /// Returns [`PlatformError::Conflict`] if it exists, and the other variants as they say.
+    /// Returns [`PlatformError::Conflict`] if it exists, and another [`PlatformError`] if the request fails.
     async fn create(
         &self,
         kind: ObjectKind,
@@ -40,10 +41,11 @@
         value: Bytes,
     ) -> Result<ObjectVersion, PlatformError>;
 
-    /// Replaces an object if it stands at `expected` (compare-and-swap).
+    /// Replaces an object if its version is `expected` (compare-and-swap).
     ///
     /// # Errors
-    /// Returns [`PlatformError::Conflict`] if it stands at another version, and the other variants as they say.
+    /// Returns [`PlatformError::Conflict`] if it has another version, and another [`PlatformError`] if it
+    /// does not exist or the request fails.
     async fn put_if(
         &self,
         kind: ObjectKind,
@@ -52,10 +54,11 @@
         value: Bytes,
     ) -> Result<ObjectVersion, PlatformError>;
 
-    /// Deletes an object if it stands at `expected`.
+    /// Deletes an object if its version is `expected`.
     ///
     /// # Errors
-    /// Returns [`PlatformError::Conflict`] if it stands at another version, and the other variants as they say.
+    /// Returns [`PlatformError::Conflict`] if it has another version, and another [`PlatformError`] if it
+    /// does not exist or the request fails.
     async fn delete(
         &self,
         kind: ObjectKind,
@@ -63,10 +66,10 @@
         expected: ObjectVersion,
     ) -> Result<(), PlatformError>;
 
-    /// Opens a watch of all changes of `kind` after `after`.
+    /// Opens a watch that reports all changes of `kind` after revision `after`.
     ///
     /// # Errors
-    /// Returns [`WatchError::TooOld`] if changes after `after` are no longer kept, and the other variants as
-    /// they say.
+    /// Returns [`WatchError::TooOld`] if the changes after `after` are no longer kept, and another
+    /// [`WatchError`] if the watch can't be opened.
     async fn watch(&self, kind: ObjectKind, after: Revision) -> Result<WatchStream, WatchError>;
 }
--- a/crates/store/src/watch.rs
+++ b/crates/store/src/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: JSON lines that arrive for as long as the connection stands.
+//! Watches: a stream of JSON lines over a connection that stays open.
 
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -13,25 +13,26 @@
 use tokio::time::{Instant, timeout, timeout_at};
 use umberpond_net::{HttpExchange, collect_body};
 
-use crate::exchange::{Exchange, RequestParts, decode_json, refusal};
+use crate::exchange::{Exchange, RequestParts, decode_json, status_error};
 use crate::{ClientSettings, ObjectKind, PlatformError, Revision, UnknownCause, WatchEvent, WatchStream};
 
-/// Why a watch did not open or ended.
+/// Why a watch could not be opened or has ended.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum WatchError {
-    /// Changes after the revision asked for are no longer kept; read the objects again and watch from there.
+    /// The changes after the requested revision are no longer kept. The caller reads the objects again and
+    /// watches from that revision.
     #[error("changes before revision {oldest:?} are no longer kept")]
     TooOld {
         /// The oldest revision after which a watch can start.
         oldest: Revision,
     },
-    /// No change and no heartbeat came within the limit.
-    #[error("the watch fell silent")]
+    /// No change and no heartbeat arrived within the time limit.
+    #[error("no change or heartbeat arrived within the time limit")]
     Silent,
-    /// The connection ended.
+    /// The connection was closed.
     #[error("the watch was closed")]
     Closed,
-    /// A line does not follow the protocol or is over the size limit.
+    /// A line does not follow the protocol or exceeds the size limit.
     #[error("the watch sent a line that does not follow the protocol")]
     Malformed,
     /// The watch could not be opened.
@@ -40,7 +41,7 @@
 }
 
 #[derive(Deserialize)]
-struct TooOldAnswer {
+struct TooOldResponse {
     oldest: Revision,
 }
 
@@ -51,10 +52,10 @@
     value: Option<String>,
 }
 
-/// Longest answer that carries no event, in bytes.
-const MAX_REFUSAL_BYTES: usize = 64 * 1024;
+/// Largest body of a response that opens no watch, in bytes.
+const MAX_ERROR_BODY_BYTES: usize = 64 * 1024;
 
-/// Room in a line for everything but the value, in bytes.
+/// Maximum length of a line without its value, in bytes.
 const LINE_OVERHEAD_BYTES: usize = 1024;
 
 pub(crate) async fn open_watch(
@@ -62,31 +63,31 @@
     kind: ObjectKind,
     after: Revision,
 ) -> Result<WatchStream, WatchError> {
-    let deadline = Instant::now() + exchange.settings.request_limit;
+    let deadline = Instant::now() + exchange.settings.request_timeout;
     let permit = exchange.gate.enter_watch(deadline).await?;
     let path = format!("/v1/watch/{kind}?after={}", after.0);
     let opened = exchange.send(RequestParts::new(Method::GET, path), deadline).await?;
     match opened.response.status() {
         StatusCode::OK => Ok(WatchState::new(opened, permit, exchange.settings).into_stream()),
         StatusCode::GONE => Err(too_old(opened, deadline).await?),
-        _ => Err(refusal(&opened.response).into()),
+        _ => Err(status_error(&opened.response).into()),
     }
 }
 
 async fn too_old(opened: HttpExchange, deadline: Instant) -> Result<WatchError, PlatformError> {
     let unknown = |cause| PlatformError::OutcomeUnknown { cause };
-    let response = timeout_at(deadline, collect_body(opened, MAX_REFUSAL_BYTES))
+    let response = timeout_at(deadline, collect_body(opened, MAX_ERROR_BODY_BYTES))
         .await
-        .map_err(|_| unknown(UnknownCause::TimeLimit))?
-        .map_err(|_| unknown(UnknownCause::Broken))?;
-    let answer: TooOldAnswer = decode_json(response.body())?;
-    Ok(WatchError::TooOld { oldest: answer.oldest })
+        .map_err(|_| unknown(UnknownCause::Timeout))?
+        .map_err(|_| unknown(UnknownCause::ConnectionLost))?;
+    let body: TooOldResponse = decode_json(response.body())?;
+    Ok(WatchError::TooOld { oldest: body.oldest })
 }
 
 struct WatchState {
     exchange: HttpExchange,
     buffer: BytesMut,
-    /// Bytes at the front of the buffer that hold no line end.
+    /// Length of the buffer's prefix that is known to contain no newline.
     searched: usize,
     settings: ClientSettings,
     _permit: OwnedSemaphorePermit,
@@ -115,7 +116,7 @@
                 continue;
             };
             if line.iter().all(u8::is_ascii_whitespace) {
-                // A heartbeat.
+                // An empty line is a heartbeat.
                 continue;
             }
             return decode_line(&line);
@@ -138,7 +139,7 @@
         if self.buffer.len() > max_line_bytes {
             return Err(WatchError::Malformed);
         }
-        let frame = timeout(self.settings.heartbeat_limit, self.exchange.response.body_mut().frame())
+        let frame = timeout(self.settings.heartbeat_timeout, self.exchange.response.body_mut().frame())
             .await
             .map_err(|_| WatchError::Silent)?
             .ok_or(WatchError::Closed)?
--- a/crates/store/tests/client.rs
+++ b/crates/store/tests/client.rs
@@ -1,4 +1,5 @@
-//! The client against a peer that hangs, breaks off or answers nonsense: what each failure is told as.
+//! Tests of the client against a peer that hangs, closes the connection early or sends malformed responses:
+//! each failure must be reported as the right error.
 
 use std::io;
 use std::net::SocketAddr;
@@ -16,16 +17,16 @@
     PlatformError, PlatformGate, Revision, UnknownCause, WatchError,
 };
 
-/// What the peer does with a connection.
+/// How the peer handles a connection.
 #[derive(Debug, Clone, Copy)]
 enum Peer {
     Refuses,
     NeverConnects,
-    /// Takes the request and says nothing more.
+    /// Reads the request and never responds.
     Hangs,
-    /// Sends this and closes.
+    /// Sends the text and closes the connection.
     Sends(&'static str),
-    /// Sends this and stays silent.
+    /// Sends the text and keeps the connection open.
     SendsAndHangs(&'static str),
 }
 
@@ -38,7 +39,7 @@
             _ => {}
         }
         let (near, far) = tokio::io::duplex(4096);
-        tokio::spawn(play(*self, far));
+        tokio::spawn(serve_connection(*self, far));
         Ok(Box::new(near))
     }
 
@@ -47,7 +48,7 @@
     }
 }
 
-async fn play(peer: Peer, mut stream: DuplexStream) {
+async fn serve_connection(peer: Peer, mut stream: DuplexStream) {
     let mut request = [0; 1024];
     let read = stream.read(&mut request).await.unwrap_or_default();
     assert!(request[..read].windows(2).any(|bytes| bytes == b"\r\n"), "a request arrives");
@@ -66,8 +67,8 @@
 
 async fn put(client: &PlatformClient) -> PlatformError {
     let value = Bytes::from_static(b"head");
-    let answer = client.put_if(ObjectKind::Head, "head", ObjectVersion(3), value).await;
-    answer.expect_err("the peer never accepts")
+    let result = client.put_if(ObjectKind::Head, "head", ObjectVersion(3), value).await;
+    result.expect_err("the peer never accepts")
 }
 
 const fn unknown(cause: UnknownCause) -> PlatformError {
@@ -79,24 +80,24 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn each_failure_says_whether_the_change_may_have_happened() {
-    let broken = "HTTP/1.1 200 OK\r\nobject-version: 4\r\ncontent-length: 9\r\n\r\nhalf";
-    let nameless = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
+async fn each_error_reports_whether_the_change_may_have_taken_effect() {
+    let truncated = "HTTP/1.1 200 OK\r\nobject-version: 4\r\ncontent-length: 9\r\n\r\nhalf";
+    let without_version = "HTTP/1.1 200 OK\r\ncontent-length: 0\r\n\r\n";
     let conflict = "HTTP/1.1 409 Conflict\r\nobject-version: 8\r\ncontent-length: 0\r\n\r\n";
     let busy = "HTTP/1.1 429 Too Many Requests\r\nretry-after: 7\r\ncontent-length: 0\r\n\r\n";
     let failed = "HTTP/1.1 500 Internal Server Error\r\ncontent-length: 0\r\n\r\n";
     let rejected = "HTTP/1.1 400 Bad Request\r\ncontent-length: 0\r\n\r\n";
     let cases = [
-        (Peer::Refuses, not_sent(NotSentCause::NoConnection)),
-        (Peer::NeverConnects, not_sent(NotSentCause::ConnectTimeLimit)),
-        (Peer::Hangs, unknown(UnknownCause::TimeLimit)),
-        (Peer::Sends(""), unknown(UnknownCause::Broken)),
-        (Peer::Sends("nonsense\r\n\r\n"), unknown(UnknownCause::Broken)),
-        (Peer::Sends(broken), unknown(UnknownCause::Broken)),
-        (Peer::SendsAndHangs(broken), unknown(UnknownCause::TimeLimit)),
-        (Peer::Sends(nameless), unknown(UnknownCause::Malformed)),
+        (Peer::Refuses, not_sent(NotSentCause::ConnectionFailed)),
+        (Peer::NeverConnects, not_sent(NotSentCause::ConnectTimeout)),
+        (Peer::Hangs, unknown(UnknownCause::Timeout)),
+        (Peer::Sends(""), unknown(UnknownCause::ConnectionLost)),
+        (Peer::Sends("nonsense\r\n\r\n"), unknown(UnknownCause::ConnectionLost)),
+        (Peer::Sends(truncated), unknown(UnknownCause::ConnectionLost)),
+        (Peer::SendsAndHangs(truncated), unknown(UnknownCause::Timeout)),
+        (Peer::Sends(without_version), unknown(UnknownCause::Malformed)),
         (Peer::Sends(failed), unknown(UnknownCause::ServerError { status: 500 })),
-        (Peer::Sends(conflict), PlatformError::Conflict { standing: Some(ObjectVersion(8)) }),
+        (Peer::Sends(conflict), PlatformError::Conflict { current: Some(ObjectVersion(8)) }),
         (Peer::Sends(busy), PlatformError::Refused { retry_after: Some(Duration::from_secs(7)) }),
         (Peer::Sends(rejected), PlatformError::Rejected { status: 400 }),
     ];
@@ -105,7 +106,7 @@
         let error = put(&client(peer)).await;
         assert_eq!(error, expected, "{peer:?}");
         assert_eq!(error.may_have_changed(), matches!(expected, PlatformError::OutcomeUnknown { .. }));
-        assert!(started.elapsed() <= ClientSettings::default().request_limit);
+        assert!(started.elapsed() <= ClientSettings::default().request_timeout);
     }
 }
 
@@ -114,37 +115,37 @@
     let client = client(Peer::Hangs);
     for name in ["a/b", "a?after=1", "a b", "a\r\nx: y"] {
         let refused = client.get(ObjectKind::Content, name).await;
-        assert_eq!(refused, Err(not_sent(NotSentCause::UnusableName)), "{name:?}");
+        assert_eq!(refused, Err(not_sent(NotSentCause::InvalidName)), "{name:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn requests_over_the_limit_wait_and_are_then_not_sent() {
+async fn requests_over_the_concurrency_limit_time_out_without_being_sent() {
     let client = client(Peer::Hangs);
     let (one, two) = tokio::join!(put(&client), put(&client));
-    assert_eq!(one, unknown(UnknownCause::TimeLimit));
-    assert_eq!(two, not_sent(NotSentCause::GateBusy));
-    // The place is free again.
-    assert_eq!(put(&client).await, unknown(UnknownCause::TimeLimit));
+    assert_eq!(one, unknown(UnknownCause::Timeout));
+    assert_eq!(two, not_sent(NotSentCause::TooManyRequests));
+    // The permit is available again.
+    assert_eq!(put(&client).await, unknown(UnknownCause::Timeout));
 }
 
-async fn watched(peer: Peer) -> Result<Vec<Result<u64, WatchError>>, WatchError> {
+async fn watch_events(peer: Peer) -> Result<Vec<Result<u64, WatchError>>, WatchError> {
     let watch = client(peer).watch(ObjectKind::Head, Revision(1)).await?;
     Ok(watch.map(|event| event.map(|event| event.revision.0)).collect().await)
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_watch_ends_with_its_reason() {
+async fn a_watch_reports_why_it_ended() {
     const HEAD: &str = "HTTP/1.1 200 OK\r\n\r\n";
     const EVENT: &str = "HTTP/1.1 200 OK\r\n\r\n\n{\"revision\":2,\"name\":\"head\",\"value\":\"AAE=\"}\n\n";
     const NONSENSE: &str = "HTTP/1.1 200 OK\r\n\r\n{\"revision\":2}\n";
     const BASE64: &str = "HTTP/1.1 200 OK\r\n\r\n{\"revision\":2,\"name\":\"head\",\"value\":\"*\"}\n";
     const GONE: &str = "HTTP/1.1 410 Gone\r\ncontent-length: 12\r\n\r\n{\"oldest\":9}";
-    assert_eq!(watched(Peer::SendsAndHangs(HEAD)).await, Ok(vec![Err(WatchError::Silent)]));
-    assert_eq!(watched(Peer::Sends(EVENT)).await, Ok(vec![Ok(2), Err(WatchError::Closed)]));
-    assert_eq!(watched(Peer::Sends(NONSENSE)).await, Ok(vec![Err(WatchError::Malformed)]));
-    assert_eq!(watched(Peer::Sends(BASE64)).await, Ok(vec![Err(WatchError::Malformed)]));
-    assert_eq!(watched(Peer::Sends(GONE)).await, Err(WatchError::TooOld { oldest: Revision(9) }));
-    let refused = WatchError::Unavailable(not_sent(NotSentCause::NoConnection));
-    assert_eq!(watched(Peer::Refuses).await, Err(refused));
+    assert_eq!(watch_events(Peer::SendsAndHangs(HEAD)).await, Ok(vec![Err(WatchError::Silent)]));
+    assert_eq!(watch_events(Peer::Sends(EVENT)).await, Ok(vec![Ok(2), Err(WatchError::Closed)]));
+    assert_eq!(watch_events(Peer::Sends(NONSENSE)).await, Ok(vec![Err(WatchError::Malformed)]));
+    assert_eq!(watch_events(Peer::Sends(BASE64)).await, Ok(vec![Err(WatchError::Malformed)]));
+    assert_eq!(watch_events(Peer::Sends(GONE)).await, Err(WatchError::TooOld { oldest: Revision(9) }));
+    let refused = WatchError::Unavailable(not_sent(NotSentCause::ConnectionFailed));
+    assert_eq!(watch_events(Peer::Refuses).await, Err(refused));
 }
--- a/testing/standins/tests/platform_client.rs
+++ b/testing/standins/tests/platform_client.rs
@@ -29,7 +29,7 @@
     let value = Bytes::from_static(b"a");
     let first = client.create(ObjectKind::Content, "x", value.clone()).await.unwrap();
     let exists = client.create(ObjectKind::Content, "x", value.clone()).await.unwrap_err();
-    assert_eq!(exists, PlatformError::Conflict { standing: Some(first) });
+    assert_eq!(exists, PlatformError::Conflict { current: Some(first) });
     let second = client.put_if(ObjectKind::Content, "x", first, Bytes::from_static(b"b")).await.unwrap();
     assert!(second > first);
     let read = client.get(ObjectKind::Content, "x").await.unwrap().unwrap();
