--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -51,7 +51,7 @@
     ) -> Vec<Outgoing> {
         match message {
             SuspectMessage::Told(records) => {
-                let changed = self.quarantine.join(records, FindingSource::Node).changed;
+                let changed = self.quarantine.merge(records, FindingSource::Node).changed;
                 if changed.is_empty() || membership.broadcasts_to_all() {
                     return Vec::new();
                 }
@@ -75,7 +75,7 @@
 
     /// Merges the records that another node has sent; returns those that the sender lacks.
     fn missing_at_sender(&self, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
-        let outcome = self.quarantine.join(records, FindingSource::Node);
+        let outcome = self.quarantine.merge(records, FindingSource::Node);
         let was_sent = |fingerprint: &RequestFingerprint| {
             records.iter().any(|record| record.fingerprint == *fingerprint)
         };
--- a/crates/daemon/src/quarantine/task.rs
+++ b/crates/daemon/src/quarantine/task.rs
@@ -88,7 +88,7 @@
         self.read_at = Instant::now();
         let Some(stored) = self.read(QuarantineFreshness::Latest).await else { return };
         let lifted: Vec<RequestFingerprint> = known.difference(&stored).copied().collect();
-        self.task.quarantine.lift(&lifted);
+        self.task.quarantine.clear_fingerprint(&lifted);
         self.stored = Some(stored);
     }
 
@@ -105,7 +105,7 @@
         };
         let fingerprints = stored.iter().map(|stored| stored.record.fingerprint).collect();
         let records: Vec<SuspectRecord> = stored.into_iter().filter_map(with_current_age).collect();
-        self.task.quarantine.join(&records, FindingSource::Store);
+        self.task.quarantine.merge(&records, FindingSource::Store);
         Some(fingerprints)
     }
 
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -72,7 +72,7 @@
         };
         let result = self.forward(attempt, &target, grant).await;
         // A suspect request may be waiting for this run to end.
-        self.quarantine.moved().notify_waiters();
+        self.quarantine.suspects_changed().notify_waiters();
         result
     }
 
@@ -125,7 +125,7 @@
         place: Option<SuspectPlace>,
     ) -> Result<Option<SuspectPlace>, NotRun> {
         let key = &attempt.request_key;
-        if place.is_some() && self.quarantine.standing(key) <= SuspicionLevel::Isolated {
+        if place.is_some() && self.quarantine.suspicion_level(key) <= SuspicionLevel::Isolated {
             return Ok(place);
         }
         self.suspect_limiter.try_acquire(&target.watch, key, target.back_end.slots)
--- a/crates/forwarding/src/inbound/suspect_limiter.rs
+++ b/crates/forwarding/src/inbound/suspect_limiter.rs
@@ -50,15 +50,15 @@
         until: Instant,
     ) -> Result<Option<SuspectPlace>, NotRun> {
         loop {
-            let moved = self.quarantine.moved().notified();
-            tokio::pin!(moved);
+            let changed = self.quarantine.suspects_changed().notified();
+            tokio::pin!(changed);
             // Registers for notifications before the check, so that no change is missed.
-            moved.as_mut().enable();
+            changed.as_mut().enable();
             match self.try_acquire(watch, key, slots) {
                 Err(NotRun { reason: NotRunReason::SuspectBusy, .. }) => {}
                 other => return other,
             }
-            if timeout_at(until, moved).await.is_err() {
+            if timeout_at(until, changed).await.is_err() {
                 return Err(NotRun::before_back_end(NotRunReason::SuspectBusy));
             }
         }
@@ -74,7 +74,7 @@
         key: &RequestKey,
         slots: u32,
     ) -> Result<Option<SuspectPlace>, NotRun> {
-        let places = match self.quarantine.standing(key) {
+        let places = match self.quarantine.suspicion_level(key) {
             SuspicionLevel::Clear => return Ok(None),
             SuspicionLevel::Suspected => (slots / SLOTS_PER_PLACE).max(1) as usize,
             SuspicionLevel::Isolated => 1,
@@ -99,7 +99,7 @@
         // Running requests that became suspect after they started count too.
         let runs = watch.runs_without_place().into_iter();
         let others = state.held.values().copied().chain(runs);
-        let levels = others.map(|other| self.quarantine.standing(&other));
+        let levels = others.map(|other| self.quarantine.suspicion_level(&other));
         let suspects: Vec<SuspicionLevel> = levels.filter(|level| *level != SuspicionLevel::Clear).collect();
         if suspects.len() >= places || suspects.iter().any(|level| *level > SuspicionLevel::Suspected) {
             return None;
@@ -121,6 +121,6 @@
 impl Drop for SuspectPlace {
     fn drop(&mut self) {
         self.limiter.state.lock().held.remove(&self.number);
-        self.limiter.quarantine.moved().notify_waiters();
+        self.limiter.quarantine.suspects_changed().notify_waiters();
     }
 }
--- a/crates/forwarding/src/outbound/attempts/endpoint_choice.rs
+++ b/crates/forwarding/src/outbound/attempts/endpoint_choice.rs
@@ -16,7 +16,7 @@
 
     /// Why the request is withheld from all back ends, if it is suspected of crashing them.
     pub(super) fn quarantine_refusal(&self) -> Option<NotRun> {
-        match self.outbound.quarantine().standing(&self.request.request_key) {
+        match self.outbound.quarantine().suspicion_level(&self.request.request_key) {
             SuspicionLevel::Clear | SuspicionLevel::Suspected | SuspicionLevel::Isolated => None,
             SuspicionLevel::Paused(left) => Some(NotRun {
                 retry_after: Some(left),
--- a/crates/forwarding/src/quarantine.rs
+++ b/crates/forwarding/src/quarantine.rs
@@ -50,7 +50,7 @@
     updates: Mutex<BTreeSet<RequestFingerprint>>,
     has_updates: Notify,
     /// Notified when a suspected request that was blocked may be able to start.
-    moved: Notify,
+    suspects_changed: Notify,
     telemetry: Telemetry,
 }
 
@@ -61,27 +61,27 @@
             is_empty: AtomicBool::new(true),
             updates: Mutex::default(),
             has_updates: Notify::new(),
-            moved: Notify::new(),
+            suspects_changed: Notify::new(),
             telemetry,
         }
     }
 
     /// How a request is treated.
-    pub(crate) fn standing(&self, key: &RequestKey) -> SuspicionLevel {
+    pub(crate) fn suspicion_level(&self, key: &RequestKey) -> SuspicionLevel {
         if self.is_empty.load(Ordering::Relaxed) {
             return SuspicionLevel::Clear;
         }
-        self.ledger.lock().standing(now(), key)
+        self.ledger.lock().suspicion_level(now(), key)
     }
 
     /// Whether a request is suspected.
     pub(crate) fn is_suspect(&self, key: &RequestKey) -> bool {
-        self.standing(key) != SuspicionLevel::Clear
+        self.suspicion_level(key) != SuspicionLevel::Clear
     }
 
     /// Notified when a suspected request that was blocked may be able to start.
-    pub(crate) const fn moved(&self) -> &Notify {
-        &self.moved
+    pub(crate) const fn suspects_changed(&self) -> &Notify {
+        &self.suspects_changed
     }
 
     /// Records that the local back end crashed while it ran `requests`.
@@ -103,19 +103,22 @@
     }
 
     /// Clears these fingerprints at the request of an operator, so that matching requests are served again.
-    pub fn lift(&self, fingerprints: &[RequestFingerprint]) {
+    pub fn clear_fingerprint(&self, fingerprints: &[RequestFingerprint]) {
         let mut ledger = self.ledger.lock();
-        let lifted: Vec<RequestFingerprint> =
-            fingerprints.iter().copied().filter(|fingerprint| ledger.lift(fingerprint)).collect();
+        let lifted: Vec<RequestFingerprint> = fingerprints
+            .iter()
+            .copied()
+            .filter(|fingerprint| ledger.clear_fingerprint(fingerprint))
+            .collect();
         drop(ledger);
         self.on_changed(&lifted, FindingSource::Local);
     }
 
     /// Merges records received from another node or the store.
-    pub fn join(&self, records: &[SuspectRecord], source: FindingSource) -> MergeOutcome {
-        let joined = self.ledger.lock().join(now(), records);
-        self.on_changed(&joined.changed, source);
-        joined
+    pub fn merge(&self, records: &[SuspectRecord], source: FindingSource) -> MergeOutcome {
+        let merged = self.ledger.lock().merge(now(), records);
+        self.on_changed(&merged.changed, source);
+        merged
     }
 
     /// Waits for local findings that have not been sent yet, and takes their records. Cancel safe.
@@ -165,7 +168,7 @@
         for fingerprint in fingerprints {
             self.emit_finding(fingerprint, source);
         }
-        self.moved.notify_waiters();
+        self.suspects_changed.notify_waiters();
         if source == FindingSource::Local {
             self.updates.lock().extend(fingerprints);
             self.has_updates.notify_one();
@@ -174,11 +177,11 @@
 
     fn emit_finding(&self, fingerprint: &RequestFingerprint, source: FindingSource) {
         let ledger = self.ledger.lock();
-        let standing = ledger.standing_of(now(), fingerprint);
+        let suspicion_level = ledger.fingerprint_suspicion_level(now(), fingerprint);
         let crashes = ledger.fingerprint_crash_count(fingerprint) as u64;
         drop(ledger);
         let (fingerprint, source) = (fingerprint.to_string(), source.as_str());
-        self.telemetry.emit(match standing {
+        self.telemetry.emit(match suspicion_level {
             SuspicionLevel::Clear => Event::RequestCleared { fingerprint, source },
             SuspicionLevel::Suspected | SuspicionLevel::Isolated | SuspicionLevel::Paused(_) => {
                 Event::RequestSuspected { fingerprint, crashes, source }
--- a/crates/quarantine/src/ledger.rs
+++ b/crates/quarantine/src/ledger.rs
@@ -45,14 +45,21 @@
 
     /// Returns how a request is treated, by the more suspect of its two fingerprints.
     #[must_use]
-    pub fn standing(&self, now: Instant, key: &RequestKey) -> SuspicionLevel {
-        let standings = key.fingerprints().into_iter().map(|fingerprint| self.standing_of(now, &fingerprint));
-        standings.max().unwrap_or(SuspicionLevel::Clear)
+    pub fn suspicion_level(&self, now: Instant, key: &RequestKey) -> SuspicionLevel {
+        let suspicion_levels = key
+            .fingerprints()
+            .into_iter()
+            .map(|fingerprint| self.fingerprint_suspicion_level(now, &fingerprint));
+        suspicion_levels.max().unwrap_or(SuspicionLevel::Clear)
     }
 
     /// Returns how requests with this fingerprint are treated.
     #[must_use]
-    pub fn standing_of(&self, now: Instant, fingerprint: &RequestFingerprint) -> SuspicionLevel {
+    pub fn fingerprint_suspicion_level(
+        &self,
+        now: Instant,
+        fingerprint: &RequestFingerprint,
+    ) -> SuspicionLevel {
         let Some(suspect) = self.suspects.get(fingerprint) else { return SuspicionLevel::Clear };
         let crashes = suspect.crashes();
         if crashes == 0 || self.is_expired(now, suspect.blamed_at) {
@@ -70,7 +77,7 @@
 
     /// Number of crashes that a request is blamed for.
     #[must_use]
-    pub fn crashes(&self, key: &RequestKey) -> usize {
+    pub fn crash_count(&self, key: &RequestKey) -> usize {
         let crashes =
             key.fingerprints().into_iter().map(|fingerprint| self.fingerprint_crash_count(&fingerprint));
         crashes.max().unwrap_or(0)
@@ -89,9 +96,9 @@
     /// end is therefore blamed at most once. If several requests are one crash away from quarantine, none of
     /// them is blamed: they are run apart from then on, and the next crash shows the cause.
     pub fn blame(&mut self, now: Instant, crash: CrashId, requests: &[RequestKey]) -> Vec<RequestKey> {
-        let most = requests.iter().map(|key| self.crashes(key)).max().unwrap_or(0);
+        let most = requests.iter().map(|key| self.crash_count(key)).max().unwrap_or(0);
         let blamed: Vec<RequestKey> =
-            requests.iter().filter(|key| self.crashes(key) == most).copied().collect();
+            requests.iter().filter(|key| self.crash_count(key) == most).copied().collect();
         let contents: BTreeSet<RequestFingerprint> = blamed.iter().map(|key| key.content).collect();
         if contents.len() > 1 && most + 1 >= self.settings.crashes {
             return Vec::new();
@@ -109,16 +116,16 @@
     /// end. Returns the fingerprints that were blamed until now.
     pub fn clear(&mut self, key: &RequestKey) -> Vec<RequestFingerprint> {
         let fingerprints = key.fingerprints().into_iter();
-        fingerprints.filter(|fingerprint| self.lift(fingerprint)).collect()
+        fingerprints.filter(|fingerprint| self.clear_fingerprint(fingerprint)).collect()
     }
 
     /// Clears this fingerprint; returns whether it was blamed until now.
-    pub fn lift(&mut self, fingerprint: &RequestFingerprint) -> bool {
+    pub fn clear_fingerprint(&mut self, fingerprint: &RequestFingerprint) -> bool {
         self.suspects.get_mut(fingerprint).is_some_and(Suspect::clear)
     }
 
     /// Merges records from another node or from the store.
-    pub fn join(&mut self, now: Instant, records: &[SuspectRecord]) -> MergeOutcome {
+    pub fn merge(&mut self, now: Instant, records: &[SuspectRecord]) -> MergeOutcome {
         let mut joined = MergeOutcome::default();
         for record in records {
             let age = Duration::from_millis(u64::from(record.age_millis));
@@ -177,10 +184,9 @@
     /// Records of the quarantined fingerprints.
     #[must_use]
     pub fn quarantined(&self, now: Instant) -> Vec<SuspectRecord> {
-        let refused = self
-            .suspects
-            .iter()
-            .filter(|(fingerprint, _)| self.standing_of(now, fingerprint) == SuspicionLevel::Quarantined);
+        let refused = self.suspects.iter().filter(|(fingerprint, _)| {
+            self.fingerprint_suspicion_level(now, fingerprint) == SuspicionLevel::Quarantined
+        });
         refused.map(|(fingerprint, suspect)| suspect.record(now, *fingerprint)).collect()
     }
 
--- a/crates/quarantine/tests/ledger.rs
+++ b/crates/quarantine/tests/ledger.rs
@@ -43,15 +43,18 @@
     let start = Instant::now();
     let mut ledger = ledger();
     let culprit = key("/guilty");
-    assert_eq!(ledger.standing(start, &culprit), SuspicionLevel::Clear);
+    assert_eq!(ledger.suspicion_level(start, &culprit), SuspicionLevel::Clear);
     ledger.blame(start, CrashId(1), &[culprit]);
-    assert_eq!(ledger.standing(start, &culprit), SuspicionLevel::Suspected);
+    assert_eq!(ledger.suspicion_level(start, &culprit), SuspicionLevel::Suspected);
     ledger.blame(after(start, 1), CrashId(2), &[culprit]);
-    assert_eq!(ledger.standing(after(start, 2), &culprit), SuspicionLevel::Paused(Duration::from_secs(3)));
-    assert_eq!(ledger.standing(after(start, 5), &culprit), SuspicionLevel::Isolated);
+    assert_eq!(
+        ledger.suspicion_level(after(start, 2), &culprit),
+        SuspicionLevel::Paused(Duration::from_secs(3))
+    );
+    assert_eq!(ledger.suspicion_level(after(start, 5), &culprit), SuspicionLevel::Isolated);
     ledger.blame(after(start, 5), CrashId(3), &[culprit]);
-    assert_eq!(ledger.standing(after(start, 500), &culprit), SuspicionLevel::Quarantined);
-    assert_eq!(ledger.standing(after(start, 700), &culprit), SuspicionLevel::Clear);
+    assert_eq!(ledger.suspicion_level(after(start, 500), &culprit), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.suspicion_level(after(start, 700), &culprit), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -63,8 +66,8 @@
     ledger.clear(&bystander);
     assert_eq!(ledger.blame(start, CrashId(2), &[culprit, bystander, later]), [culprit]);
     assert_eq!(ledger.blame(start, CrashId(3), &[later, culprit]), [culprit]);
-    assert_eq!(ledger.standing(start, &bystander), SuspicionLevel::Clear);
-    assert_eq!(ledger.standing(start, &later), SuspicionLevel::Clear);
+    assert_eq!(ledger.suspicion_level(start, &bystander), SuspicionLevel::Clear);
+    assert_eq!(ledger.suspicion_level(start, &later), SuspicionLevel::Clear);
 }
 
 /// One more crash would quarantine both requests, one of them wrongly.
@@ -80,8 +83,8 @@
         assert_eq!(ledger.blame(start, CrashId(crash), &[culprit, bystander]), []);
     }
     ledger.blame(start, CrashId(10), &[culprit]);
-    assert_eq!(ledger.standing(start, &culprit), SuspicionLevel::Quarantined);
-    assert_ne!(ledger.standing(start, &bystander), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.suspicion_level(start, &culprit), SuspicionLevel::Quarantined);
+    assert_ne!(ledger.suspicion_level(start, &bystander), SuspicionLevel::Quarantined);
 }
 
 #[test]
@@ -92,8 +95,8 @@
     for crash in 1..=3 {
         ledger.blame(start, CrashId(crash), &keys);
     }
-    assert_eq!(ledger.standing(start, &keys[0]), SuspicionLevel::Quarantined);
-    assert_eq!(ledger.standing(start, &key_by("/guilty", "another")), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.suspicion_level(start, &keys[0]), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.suspicion_level(start, &key_by("/guilty", "another")), SuspicionLevel::Quarantined);
 }
 
 /// One service gets responses to the content with which another service crashes back ends.
@@ -106,8 +109,8 @@
         ledger.blame(start, CrashId(crash), &[crashing]);
         ledger.clear(&served);
     }
-    assert_eq!(ledger.standing(start, &crashing), SuspicionLevel::Quarantined);
-    assert_eq!(ledger.standing(start, &served), SuspicionLevel::Clear);
+    assert_eq!(ledger.suspicion_level(start, &crashing), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.suspicion_level(start, &served), SuspicionLevel::Clear);
 }
 
 #[test]
@@ -121,7 +124,7 @@
     for number in 0..1_000 {
         ledger.blame(after(start, 1), CrashId(100 + number), &[key(&format!("/{number}"))]);
     }
-    assert_eq!(ledger.standing(after(start, 1), &culprit), SuspicionLevel::Quarantined);
+    assert_eq!(ledger.suspicion_level(after(start, 1), &culprit), SuspicionLevel::Quarantined);
     assert!(ledger.quarantined(after(start, 1)).len() <= 2);
 }
 
@@ -133,12 +136,12 @@
     for crash in 1..=3 {
         old.blame(start, CrashId(crash), &[culprit]);
     }
-    new.join(after(start, 400), &old.repair_records(after(start, 400)));
-    assert_eq!(new.standing(after(start, 599), &culprit), SuspicionLevel::Quarantined);
-    assert_eq!(new.standing(after(start, 600), &culprit), SuspicionLevel::Clear);
+    new.merge(after(start, 400), &old.repair_records(after(start, 400)));
+    assert_eq!(new.suspicion_level(after(start, 599), &culprit), SuspicionLevel::Quarantined);
+    assert_eq!(new.suspicion_level(after(start, 600), &culprit), SuspicionLevel::Clear);
     let too_old = old.repair_records(after(start, 599));
     let mut last = ledger();
-    last.join(after(start, 2_000), &[SuspectRecord { age_millis: u32::MAX, ..too_old[0].clone() }]);
+    last.merge(after(start, 2_000), &[SuspectRecord { age_millis: u32::MAX, ..too_old[0].clone() }]);
     assert!(last.is_empty());
 }
 
@@ -187,7 +190,7 @@
             }
             Step::Send { from, to, request } => {
                 let records = ledgers[*from].records(start, &key(*request).fingerprints());
-                ledgers[*to].join(start, &records);
+                ledgers[*to].merge(start, &records);
             }
         }
     }
@@ -206,7 +209,7 @@
         // Every node merges all records, in its own order and some of them twice.
         for (node, ledger) in ledgers.iter_mut().enumerate() {
             for turn in 0..=NODES {
-                ledger.join(start, &all[(node + turn) % NODES]);
+                ledger.merge(start, &all[(node + turn) % NODES]);
             }
         }
         let first = ledgers[0].records(start, &fingerprints);
@@ -235,7 +238,7 @@
         let popular = key("/0");
         run_steps(&steps_with_responses, start)
             .iter()
-            .all(|ledger| ledger.standing(start, &popular) != SuspicionLevel::Quarantined)
+            .all(|ledger| ledger.suspicion_level(start, &popular) != SuspicionLevel::Quarantined)
     }
     QuickCheck::new().tests(2_000).quickcheck(property as fn(Vec<Step>) -> bool);
 }
@@ -262,7 +265,7 @@
                 age_millis,
             })
             .collect();
-        ledger.join(start, &records);
+        ledger.merge(start, &records);
         ledger.repair_records(start).len() <= SETTINGS.capacity
             && ledger.repair_records(start).iter().all(|record| record.findings.len() <= 8)
     }
