--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -36,7 +36,7 @@
         return false;
     }
     if health.cold_for.is_zero() {
-        monitor.inbound().on_warm();
+        monitor.inbound().on_warmth_probe_succeeded();
     } else {
         monitor.on_cold(&back_end.life, health.cold_for);
     }
--- a/crates/forwarding/src/calls/gate.rs
+++ b/crates/forwarding/src/calls/gate.rs
@@ -41,7 +41,7 @@
     match reply.reason {
         Some(ReplyReason::NotRun(
             NotRunReason::Overloaded | NotRunReason::BackEndFull | NotRunReason::CallsOverloaded,
-        )) => CallOutcome::NoRoom,
+        )) => CallOutcome::Overloaded,
         Some(ReplyReason::NotRun(_) | ReplyReason::OverQuota) => CallOutcome::Refused,
         Some(_) | None => CallOutcome::Run,
     }
--- a/crates/forwarding/src/inbound/admission.rs
+++ b/crates/forwarding/src/inbound/admission.rs
@@ -169,7 +169,7 @@
         let mut state = self.state.lock();
         state.queue.set_slots(slots);
         // The back end may have become cold while it received no requests.
-        state.queue.cold_start_limiter().doubt();
+        state.queue.cold_start_limiter().mark_unconfirmed();
         state.queue.open();
         self.start_waiting(&mut state);
     }
@@ -232,7 +232,7 @@
 
     /// Records that work currently takes `percent` hundredths of its usual time at the back end.
     pub(crate) fn on_slowdown(&self, percent: u16) -> Result<(), InvalidSlowdown> {
-        self.state.lock().queue.slowdown().on_word(now(), percent)
+        self.state.lock().queue.slowdown().on_report(now(), percent)
     }
 
     /// Converts the duration `taken` of work that ends now to its duration at the back end's usual speed.
@@ -257,7 +257,7 @@
 
     /// Slot use of a tenant; `None` if none of its requests has waited recently.
     pub(super) fn usage(&self, tenant: TenantId) -> Option<TenantUsage> {
-        self.state.lock().queue.standing(now(), tenant)
+        self.state.lock().queue.tenant_usage(now(), tenant)
     }
 
     /// Slot use of the tenants, listing the `count` tenants with the highest use.
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -233,7 +233,7 @@
         if is_evacuated {
             self.admission.reject_waiting();
         } else {
-            self.admission.update_cold_start(ColdStartLimiter::doubt);
+            self.admission.update_cold_start(ColdStartLimiter::mark_unconfirmed);
         }
     }
 
@@ -249,7 +249,7 @@
     }
 
     /// Waits until the back end needs a warmth probe, and marks the probe as started. The caller must run the
-    /// probe and report its result through [`Inbound::on_warm`], [`Inbound::on_cold`] or
+    /// probe and report its result through [`Inbound::on_warmth_probe_succeeded`], [`Inbound::on_cold`] or
     /// [`Inbound::on_warmth_probe_failed`]. Returns `None` if no back end is known.
     pub async fn begin_warmth_probe(&self) -> Option<BackEnd> {
         self.admission.begin_warmth_probe().await;
@@ -257,8 +257,8 @@
     }
 
     /// Records that the warmth probe succeeded, which shows that the back end is warm.
-    pub fn on_warm(&self) {
-        self.admission.update_cold_start(ColdStartLimiter::on_warm);
+    pub fn on_warmth_probe_succeeded(&self) {
+        self.admission.update_cold_start(ColdStartLimiter::on_warmth_probe_succeeded);
     }
 
     /// Records that the warmth probe got no usable response.
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -153,7 +153,7 @@
         }
         let plan = PendingRun {
             route: attempt.route,
-            rank: attempt.priority,
+            priority: attempt.priority,
             level: attempt.level(),
             calls: &calls,
         };
@@ -162,11 +162,11 @@
             request: id_text(&attempt.id),
             service: attempt.service.clone(),
             called: refusal.called,
-            failing_percent: percent(refusal.failing),
-            come_back_millis: millis(refusal.come_back),
+            failing_percent: percent(refusal.failure_share),
+            come_back_millis: millis(refusal.retry_after),
         });
         let not_run = NotRun::before_back_end(NotRunReason::CallsOverloaded);
-        Err(NotRun { retry_after: Some(refusal.come_back), ..not_run })
+        Err(NotRun { retry_after: Some(refusal.retry_after), ..not_run })
     }
 
     /// Waits for a slot. A request whose body arrives over the link waits for the transfer to be admitted
--- a/crates/scheduling/src/call_failure_estimator.rs
+++ b/crates/scheduling/src/call_failure_estimator.rs
@@ -34,7 +34,7 @@
     /// The call may have been executed.
     Run,
     /// The call was refused because the back end had no capacity.
-    NoRoom,
+    Overloaded,
     /// The call was refused for another reason.
     Refused,
 }
@@ -45,7 +45,7 @@
     /// Hash of the route's name.
     pub route: u32,
     /// Priority of the run, which its calls inherit.
-    pub rank: u8,
+    pub priority: u8,
     /// Shedding level of the run, which its calls inherit.
     pub level: CallLevel,
     /// Services called by runs of the route, each with the mean number of calls of a run that makes any.
@@ -58,9 +58,9 @@
     /// The called service with the highest share of refused calls.
     pub called: ServiceName,
     /// Expected share of such runs that would fail.
-    pub failing: f64,
+    pub failure_share: f64,
     /// Time after which a retry has a better chance.
-    pub come_back: Duration,
+    pub retry_after: Duration,
 }
 
 /// Recent calls to one service by result, exponentially decayed.
@@ -82,7 +82,7 @@
         self.calls += 1.0;
         match outcome {
             CallOutcome::Run => {}
-            CallOutcome::NoRoom => self.no_room += 1.0,
+            CallOutcome::Overloaded => self.no_room += 1.0,
             CallOutcome::Refused => self.refused += 1.0,
         }
     }
@@ -121,12 +121,12 @@
 impl FailureShares {
     /// Share of the runs to refuse.
     fn refused_share(self) -> f64 {
-        let failing = if 1.0 - self.any_reason_share < LOW_SUCCESS_PROBABILITY {
+        let refused_share = if 1.0 - self.any_reason_share < LOW_SUCCESS_PROBABILITY {
             self.any_reason_share
         } else {
             self.no_room_share
         };
-        if failing < MIN_REFUSED_SHARE { 0.0 } else { failing.min(MAX_REFUSED_SHARE) }
+        if refused_share < MIN_REFUSED_SHARE { 0.0 } else { refused_share.min(MAX_REFUSED_SHARE) }
     }
 }
 
@@ -139,16 +139,16 @@
 }
 
 impl CallFailureEstimator {
-    /// Records the result of a call to `service` made by a run of `rank` and `level`.
+    /// Records the result of a call to `service` made by a run of `priority` and `level`.
     pub fn record_call(
         &mut self,
         now: Instant,
         service: &ServiceName,
-        rank: u8,
+        priority: u8,
         level: CallLevel,
         outcome: CallOutcome,
     ) {
-        self.statistics.entry((service.clone(), rank, level.band())).or_default().record(now, outcome);
+        self.statistics.entry((service.clone(), priority, level.band())).or_default().record(now, outcome);
     }
 
     /// Records whether a finished run made calls.
@@ -176,8 +176,8 @@
         let Some(called) = self.most_refusing(now, run) else { return Ok(()) };
         Err(RunRefusal {
             called,
-            failing: failure_shares.any_reason_share,
-            come_back: HALF_LIFE.mul_f64(share),
+            failure_share: failure_shares.any_reason_share,
+            retry_after: HALF_LIFE.mul_f64(share),
         })
     }
 
@@ -203,7 +203,7 @@
     }
 
     fn shares(&self, now: Instant, service: &ServiceName, run: &PendingRun<'_>) -> (f64, f64) {
-        let statistics = self.statistics.get(&(service.clone(), run.rank, run.level.band()));
+        let statistics = self.statistics.get(&(service.clone(), run.priority, run.level.band()));
         statistics.map_or((0.0, 0.0), |statistics| statistics.shares(now))
     }
 }
--- a/crates/scheduling/src/cold_start_limiter.rs
+++ b/crates/scheduling/src/cold_start_limiter.rs
@@ -40,11 +40,11 @@
         self.starts.extend(std::iter::repeat_n(now, unknown_starts));
         self.limit = limit;
         self.drop_old_starts();
-        self.doubt();
+        self.mark_unconfirmed();
     }
 
     /// Discards the knowledge that the back end is warm, without a report that it is cold.
-    pub fn doubt(&mut self) {
+    pub fn mark_unconfirmed(&mut self) {
         self.unconfirmed = self.limit.unwrap_or(0);
         self.since_probe = None;
     }
@@ -52,13 +52,13 @@
     /// Resets the state because the back end was replaced.
     pub fn forget(&mut self) {
         self.cold_until = None;
-        self.doubt();
+        self.mark_unconfirmed();
     }
 
     /// Records a report that the back end stays cold for `cold_for`.
     pub fn on_cold(&mut self, now: Instant, cold_for: Duration) {
         self.cold_until = Some(now + cold_for);
-        self.doubt();
+        self.mark_unconfirmed();
     }
 
     /// Records that a probe of the back end's state was sent.
@@ -67,7 +67,7 @@
     }
 
     /// Records that the outstanding probe found the back end warm.
-    pub const fn on_warm(&mut self) {
+    pub const fn on_warmth_probe_succeeded(&mut self) {
         if let Some(started) = self.since_probe.take() {
             self.unconfirmed = started;
             self.cold_until = None;
--- a/crates/scheduling/src/queue.rs
+++ b/crates/scheduling/src/queue.rs
@@ -226,7 +226,7 @@
 
     /// Usage of a tenant; absent if none of its requests has waited recently.
     #[must_use]
-    pub fn standing(&self, now: Instant, tenant: TenantId) -> Option<TenantUsage> {
+    pub fn tenant_usage(&self, now: Instant, tenant: TenantId) -> Option<TenantUsage> {
         self.shares.usage(now, tenant, self.quantum())
     }
 
--- a/crates/scheduling/src/slowdown.rs
+++ b/crates/scheduling/src/slowdown.rs
@@ -56,7 +56,7 @@
     /// # Errors
     /// Returns [`InvalidSlowdown`] if the value is outside the valid range; the previous report stays in
     /// effect.
-    pub fn on_word(&mut self, now: Instant, percent: u16) -> Result<(), InvalidSlowdown> {
+    pub fn on_report(&mut self, now: Instant, percent: u16) -> Result<(), InvalidSlowdown> {
         if !(MIN_PERCENT..=MAX_PERCENT).contains(&percent) {
             return Err(InvalidSlowdown { percent });
         }
--- a/crates/scheduling/tests/call_failure_estimator.rs
+++ b/crates/scheduling/tests/call_failure_estimator.rs
@@ -37,8 +37,8 @@
         }
     }
 
-    fn may_begin(&mut self, rank: u8) -> bool {
-        let run = PendingRun { route: ROUTE, rank, level: LEVEL, calls: &self.calls };
+    fn may_begin(&mut self, priority: u8) -> bool {
+        let run = PendingRun { route: ROUTE, priority, level: LEVEL, calls: &self.calls };
         self.estimator.begin_run(self.now, &run).is_ok()
     }
 
@@ -52,7 +52,7 @@
 fn runs_are_refused_in_proportion_to_their_expected_failures() {
     for (refused, begun) in [(0, 990..=1_000), (3, 450..=560), (5, 230..=330), (10, 95..=105)] {
         let mut node = Node::new(2.0);
-        node.record_calls(300, refused, CallOutcome::NoRoom);
+        node.record_calls(300, refused, CallOutcome::Overloaded);
         let found = node.count_begun();
         assert!(begun.contains(&found), "{refused} of ten calls refused, {found} runs begun");
     }
@@ -61,26 +61,26 @@
 #[test]
 fn run_refusal_names_the_called_service_and_the_retry_delay() {
     let mut node = Node::new(1.0);
-    node.record_calls(300, 10, CallOutcome::NoRoom);
-    let run = PendingRun { route: ROUTE, rank: RANK, level: LEVEL, calls: &node.calls };
+    node.record_calls(300, 10, CallOutcome::Overloaded);
+    let run = PendingRun { route: ROUTE, priority: RANK, level: LEVEL, calls: &node.calls };
     let refusal = (0..9).find_map(|_| node.estimator.begin_run(node.now, &run).err()).unwrap();
     assert_eq!(refusal.called, ledger());
-    assert!(refusal.failing > 0.9);
-    assert!((Duration::from_millis(500)..=Duration::from_secs(1)).contains(&refusal.come_back));
+    assert!(refusal.failure_share > 0.9);
+    assert!((Duration::from_millis(500)..=Duration::from_secs(1)).contains(&refusal.retry_after));
 }
 
 #[test]
 fn refused_calls_do_not_affect_other_priorities_levels_and_routes_without_calls() {
     let mut node = Node::new(2.0);
-    node.record_calls(300, 10, CallOutcome::NoRoom);
+    node.record_calls(300, 10, CallOutcome::Overloaded);
     assert!((0..100).all(|_| node.may_begin(0)), "calls of priority 0 were not refused");
     let last_level = CallLevel::from_hash(31);
-    let other = PendingRun { route: ROUTE, rank: RANK, level: last_level, calls: &node.calls };
+    let other = PendingRun { route: ROUTE, priority: RANK, level: last_level, calls: &node.calls };
     assert!(
         (0..100).all(|_| node.estimator.begin_run(node.now, &other).is_ok()),
         "no call results are known for this level"
     );
-    let without_calls = PendingRun { route: ROUTE + 1, rank: RANK, level: LEVEL, calls: &[] };
+    let without_calls = PendingRun { route: ROUTE + 1, priority: RANK, level: LEVEL, calls: &[] };
     assert!((0..100).all(|_| node.estimator.begin_run(node.now, &without_calls).is_ok()));
 }
 
@@ -90,7 +90,7 @@
     for number in 0..200 {
         node.estimator.record_run(ROUTE, number % 20 == 0);
     }
-    node.record_calls(300, 10, CallOutcome::NoRoom);
+    node.record_calls(300, 10, CallOutcome::Overloaded);
     assert!(node.count_begun() > 900);
 }
 
@@ -112,7 +112,7 @@
 #[test]
 fn refusals_end_within_five_seconds_without_call_results() {
     let mut node = Node::new(2.0);
-    node.record_calls(300, 10, CallOutcome::NoRoom);
+    node.record_calls(300, 10, CallOutcome::Overloaded);
     assert!(node.count_begun() <= 105);
     node.now += Duration::from_secs(2);
     let half_way = node.count_begun();
@@ -161,7 +161,7 @@
 
 fn call(capacity: &mut f64) -> CallOutcome {
     if *capacity < 1.0 {
-        return CallOutcome::NoRoom;
+        return CallOutcome::Overloaded;
     }
     *capacity -= 1.0;
     CallOutcome::Run
--- a/crates/scheduling/tests/cold_start_limiter.rs
+++ b/crates/scheduling/tests/cold_start_limiter.rs
@@ -23,7 +23,7 @@
     cold_start_limiter
         .set_rate(start.checked_sub(WINDOW).expect("the clock started more than a second ago"), Some(rate()));
     cold_start_limiter.on_warmth_probe_sent();
-    cold_start_limiter.on_warm();
+    cold_start_limiter.on_warmth_probe_succeeded();
     cold_start_limiter
 }
 
@@ -65,7 +65,7 @@
         assert_eq!(started(&mut cold_start_limiter, now, 1), 1);
         if cold_start_limiter.needs_warmth_probe(now) {
             cold_start_limiter.on_warmth_probe_sent();
-            cold_start_limiter.on_warm();
+            cold_start_limiter.on_warmth_probe_succeeded();
         }
     }
 }
@@ -98,7 +98,7 @@
     let mut cold_start_limiter = warm_limiter(now);
     cold_start_limiter.on_warmth_probe_sent();
     cold_start_limiter.on_cold(now, millis(3_000));
-    cold_start_limiter.on_warm();
+    cold_start_limiter.on_warmth_probe_succeeded();
     assert_eq!(started(&mut cold_start_limiter, now, 100), LIMIT);
     assert_eq!(started(&mut cold_start_limiter, now + millis(10), 100), 0);
 }
@@ -159,7 +159,7 @@
                 match result {
                     _ if detail % 5 == 0 => cold_start_limiter.on_warmth_probe_failed(),
                     Some(cold_for) => cold_start_limiter.on_cold(now, cold_for.saturating_sub(now - at)),
-                    None => cold_start_limiter.on_warm(),
+                    None => cold_start_limiter.on_warmth_probe_succeeded(),
                 }
             }
             match action % 4 {
--- a/crates/scheduling/tests/replay/mod.rs
+++ b/crates/scheduling/tests/replay/mod.rs
@@ -206,8 +206,12 @@
             return true;
         }
         let calls = [(name_of(call.kind), f64::from(call.count))];
-        let pending_run =
-            PendingRun { route: 0, rank: kind.priority, level: self.requests[request].level, calls: &calls };
+        let pending_run = PendingRun {
+            route: 0,
+            priority: kind.priority,
+            level: self.requests[request].level,
+            calls: &calls,
+        };
         self.failure_estimators.entry((kind.service, queue)).or_default().begin_run(now, &pending_run).is_ok()
     }
 
@@ -338,7 +342,7 @@
         let Request { kind, first_sent, run, .. } = self.requests[request];
         if let Some(run) = run {
             let Request { kind: run_kind, queue, .. } = self.requests[run];
-            let end = if is_good { CallOutcome::Run } else { CallOutcome::NoRoom };
+            let end = if is_good { CallOutcome::Run } else { CallOutcome::Overloaded };
             let now = self.instant(self.now);
             self.failure_estimators.entry(queue).or_default().record_call(
                 now,
--- a/crates/scheduling/tests/slowdown.rs
+++ b/crates/scheduling/tests/slowdown.rs
@@ -35,7 +35,7 @@
 
 fn slow_queue(now: Instant, percent: u16) -> WorkQueue {
     let mut queue = open_queue(4);
-    queue.slowdown().on_word(now, percent).unwrap();
+    queue.slowdown().on_report(now, percent).unwrap();
     queue
 }
 
@@ -44,9 +44,9 @@
     let now = Instant::now();
     let mut slowdown = Slowdown::default();
     assert_eq!(slowdown.percent(now), None);
-    slowdown.on_word(now, 250).unwrap();
+    slowdown.on_report(now, 250).unwrap();
     assert_eq!(slowdown.percent(now + millis(100)), Some(250));
-    slowdown.on_word(now + millis(100), 100).unwrap();
+    slowdown.on_report(now + millis(100), 100).unwrap();
     assert!((95..=100).contains(&slowdown.percent(now + millis(110)).unwrap()));
     assert_eq!(slowdown.percent(now + AFTER_EXPIRY), None);
 }
@@ -59,10 +59,10 @@
     let mut slowdown = Slowdown::default();
     for _ in 0..1_000 {
         now += millis(10);
-        slowdown.on_word(now, 200).unwrap();
+        slowdown.on_report(now, 200).unwrap();
     }
     assert_eq!(slowdown.percent(now), Some(100));
-    slowdown.on_word(now, 500).unwrap();
+    slowdown.on_report(now, 500).unwrap();
     assert_eq!(slowdown.percent(now), Some(250));
 }
 
@@ -72,7 +72,7 @@
     let now = Instant::now();
     let mut slowdown = Slowdown::default();
     for _ in 0..30 {
-        slowdown.on_word(now, 250).unwrap();
+        slowdown.on_report(now, 250).unwrap();
     }
     assert!(slowdown.factor(now) > 1.6, "{}", slowdown.factor(now));
 }
@@ -81,9 +81,9 @@
 fn out_of_range_report_is_ignored() {
     let now = Instant::now();
     let mut slowdown = Slowdown::default();
-    slowdown.on_word(now, 250).unwrap();
+    slowdown.on_report(now, 250).unwrap();
     for percent in [0, 1, u16::MAX] {
-        assert_eq!(slowdown.on_word(now, percent), Err(InvalidSlowdown { percent }));
+        assert_eq!(slowdown.on_report(now, percent), Err(InvalidSlowdown { percent }));
     }
     assert_eq!(slowdown.percent(now), Some(250));
 }
@@ -172,7 +172,7 @@
         let mut now = Instant::now();
         reports.into_iter().all(|(percent, after)| {
             now += millis(u64::from(after));
-            let _ = slowdown.on_word(now, percent);
+            let _ = slowdown.on_report(now, percent);
             let factor = slowdown.factor(now);
             (0.1..=100.0).contains(&factor) && slowdown.normalized_time(now, AFTER_EXPIRY) <= AFTER_EXPIRY * 10
         })
--- a/crates/scheduling/tests/tenant_order.rs
+++ b/crates/scheduling/tests/tenant_order.rs
@@ -210,11 +210,11 @@
     let (mut queue, _) = greedy_queue(now, 40);
     let _ = expect_wait(queue.offer(now, item(now, 1)));
     run_greedy_requests(&mut queue, now, 20);
-    let greedy = queue.standing(now, TenantId(GREEDY)).expect("it waits");
+    let greedy = queue.tenant_usage(now, TenantId(GREEDY)).expect("it waits");
     assert_eq!(greedy.share_permille, 500);
     assert!(greedy.use_permille > 900, "{greedy:?}");
     assert_eq!(queue.top_tenants(now, 1), [greedy]);
-    assert_eq!(queue.standing(now, TenantId(7)), None);
+    assert_eq!(queue.tenant_usage(now, TenantId(7)), None);
 }
 
 /// A back end with a constant service time, and its waiting requests.
@@ -361,8 +361,8 @@
     let later = now + millis(6_000);
     let _ = queue.report(now);
     let _ = queue.report(later);
-    assert_eq!(queue.standing(later, TenantId(GREEDY)), None);
-    assert!(queue.standing(later, TenantId(1)).is_some(), "tenant 1 still waits");
+    assert_eq!(queue.tenant_usage(later, TenantId(GREEDY)), None);
+    assert!(queue.tenant_usage(later, TenantId(1)).is_some(), "tenant 1 still waits");
     assert!(queue.withdraw(other));
 }
 
--- a/crates/selection/src/endpoint.rs
+++ b/crates/selection/src/endpoint.rs
@@ -124,7 +124,7 @@
         self.slowdown = Slowdown::default();
         if let Some(now) = now {
             // A report without a valid slowdown leaves it unset.
-            let _ = self.slowdown.on_word(now, report.slowdown_percent);
+            let _ = self.slowdown.on_report(now, report.slowdown_percent);
         }
     }
 
--- a/crates/selection/tests/simulation/mod.rs
+++ b/crates/selection/tests/simulation/mod.rs
@@ -336,7 +336,7 @@
         let BackEnd { queue, running, .. } = &mut self.back_ends[request.at];
         *running -= 1;
         if self.scenario.reports_slowdown {
-            queue.slowdown().on_word(now, percent).expect("the slowdown should be valid");
+            queue.slowdown().on_report(now, percent).expect("the slowdown should be valid");
         }
         let usual = queue.slowdown().normalized_time(now, taken);
         queue.finish(Some(usual));
