--- a/crates/forwarding/src/quotas.rs
+++ b/crates/forwarding/src/quotas.rs
@@ -124,7 +124,7 @@
         let mut state = self.state.lock();
         state.sharing.on_request(now(), tenant);
         let decision = state.sharing.take(now(), tenant);
-        if decision != TokenDecision::Ask {
+        if decision != TokenDecision::Pending {
             return TokenResult::Decided(decision);
         }
         let (sender, receiver) = oneshot::channel();
@@ -160,7 +160,7 @@
     pub fn next_report(&self) -> Option<QuotaReport> {
         let mut state = self.state.lock();
         state.drop_closed();
-        state.pool.look(now());
+        state.pool.tick(now());
         let count = |queue: &VecDeque<_>| u32::try_from(queue.len()).unwrap_or(u32::MAX);
         let waiting = state.waiting.iter().map(|(tenant, queue)| (*tenant, count(queue))).collect();
         state.sharing.next_report(now(), &waiting)
@@ -179,7 +179,7 @@
     }
 
     fn give_back(&self, tenant: TenantId, expires_at: std::time::Instant) {
-        self.state.lock().sharing.give_back(now(), tenant, expires_at);
+        self.state.lock().sharing.return_token(now(), tenant, expires_at);
     }
 }
 
@@ -193,12 +193,12 @@
                     continue;
                 }
                 let decision = sharing.take(now(), *tenant);
-                if decision == TokenDecision::Ask {
+                if decision == TokenDecision::Pending {
                     queue.push_front(waiter);
                     break;
                 }
                 let Err(TokenDecision::Granted { expires_at }) = waiter.send(decision) else { continue };
-                sharing.give_back(now(), *tenant, expires_at);
+                sharing.return_token(now(), *tenant, expires_at);
             }
         }
     }
--- a/crates/forwarding/src/quotas/tests.rs
+++ b/crates/forwarding/src/quotas/tests.rs
@@ -31,7 +31,7 @@
         self.decision
     }
 
-    fn give_back(&mut self, _now: std::time::Instant, _tenant: TenantId, expires_at: std::time::Instant) {
+    fn return_token(&mut self, _now: std::time::Instant, _tenant: TenantId, expires_at: std::time::Instant) {
         self.given_back.lock().push(expires_at);
     }
 
--- a/crates/quotas/src/local.rs
+++ b/crates/quotas/src/local.rs
@@ -53,7 +53,7 @@
         TokenDecision::Granted { expires_at: now + TOKEN_LIFETIME }
     }
 
-    fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant) {
+    fn return_token(&mut self, now: Instant, tenant: TenantId, expires_at: Instant) {
         if expires_at <= now {
             return;
         }
--- a/crates/quotas/src/message.rs
+++ b/crates/quotas/src/message.rs
@@ -27,7 +27,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct QuotaReport {
     /// Identifies the sending process among all processes of all nodes.
-    pub life: u64,
+    pub process_id: u64,
     /// Sequence number of the report within that process.
     pub number: u64,
     /// Time that the sender accrued and hands to the pool, in nanoseconds of the time of all nodes.
--- a/crates/quotas/src/pool.rs
+++ b/crates/quotas/src/pool.rs
@@ -22,7 +22,7 @@
 const PREFETCH_SHARE: f64 = 0.25;
 /// Time within which a granted token is used, returned or expired.
 const GRANT_WINDOW: Duration = TOKEN_LIFETIME;
-/// Interval between two calls of [`TokenPool::look`] from which on the process counts as suspended, so that
+/// Interval between two calls of [`TokenPool::tick`] from which on the process counts as suspended, so that
 /// reports queued up meanwhile.
 const SUSPENSION_THRESHOLD: Duration = Duration::from_millis(500);
 /// Time within which queued reports arrive after a suspension.
@@ -99,7 +99,7 @@
     }
 
     /// Records that this process is running. Has to be called at least once per longest pause, half a second.
-    pub fn look(&mut self, now: Instant) {
+    pub fn tick(&mut self, now: Instant) {
         self.detect_suspension(now);
         self.last_look_at = Some(now);
     }
@@ -131,8 +131,8 @@
 
     fn is_new_report(&mut self, now: Instant, report: &QuotaReport) -> bool {
         self.drop_silent_senders(now);
-        let QuotaReport { life, number, .. } = *report;
-        let sender = self.senders.entry(life).or_insert(Sender { number: 0, last_report_at: now });
+        let QuotaReport { process_id, number, .. } = *report;
+        let sender = self.senders.entry(process_id).or_insert(Sender { number: 0, last_report_at: now });
         if number <= sender.number {
             return false;
         }
--- a/crates/quotas/src/pooled.rs
+++ b/crates/quotas/src/pooled.rs
@@ -21,7 +21,7 @@
 /// Quota sharing through a few nodes that act as token pools.
 #[derive(Debug)]
 pub struct PooledShares {
-    life: u64,
+    process_id: u64,
     quotas: Quotas,
     accrued: AccruedTime,
     tenants: BTreeMap<TenantId, HeldTokens>,
@@ -43,11 +43,11 @@
 }
 
 impl PooledShares {
-    /// Starts without accrued time. `life` identifies this process.
+    /// Starts without accrued time. `process_id` identifies this process.
     #[must_use]
-    pub fn new(life: u64) -> Self {
+    pub fn new(process_id: u64) -> Self {
         Self {
-            life,
+            process_id,
             quotas: Quotas::new(),
             accrued: AccruedTime::default(),
             tenants: BTreeMap::new(),
@@ -136,10 +136,10 @@
         if held.take_accrued(accrued) {
             return TokenDecision::Granted { expires_at };
         }
-        if held.limit.exhausted_for(now).is_some() { TokenDecision::Refused } else { TokenDecision::Ask }
+        if held.limit.exhausted_for(now).is_some() { TokenDecision::Refused } else { TokenDecision::Pending }
     }
 
-    fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant) {
+    fn return_token(&mut self, now: Instant, tenant: TenantId, expires_at: Instant) {
         if !self.quotas.contains_key(&tenant) {
             return;
         }
@@ -178,7 +178,7 @@
             });
         }
         Some(QuotaReport {
-            life: self.life,
+            process_id: self.process_id,
             number: self.reports,
             spent: self.counts(HeldTokens::take_spent),
             returned: self.counts(|held| held.take_unused(now)),
--- a/crates/quotas/src/sharing.rs
+++ b/crates/quotas/src/sharing.rs
@@ -31,7 +31,7 @@
         expires_at: Instant,
     },
     /// A pool has to be asked first; its grant may bring a token.
-    Ask,
+    Pending,
     /// No token is available: the tenant is at its limit.
     Refused,
 }
@@ -51,7 +51,7 @@
     fn take(&mut self, now: Instant, tenant: TenantId) -> TokenDecision;
 
     /// Returns the token of a request that has not run. The token is lost after `expires_at`.
-    fn give_back(&mut self, now: Instant, tenant: TenantId, expires_at: Instant);
+    fn return_token(&mut self, now: Instant, tenant: TenantId, expires_at: Instant);
 
     /// Shortest time after which a tenant that was refused can expect a token.
     fn next_token_in(&self, now: Instant, tenant: TenantId) -> Duration;
--- a/crates/quotas/tests/support/mod.rs
+++ b/crates/quotas/tests/support/mod.rs
@@ -171,7 +171,7 @@
         match node.sharing.take(now, tenant) {
             TokenDecision::Granted { .. } => self.granted.entry(tenant).or_default().push(now),
             TokenDecision::Refused => *self.refused.entry(tenant).or_default() += 1,
-            TokenDecision::Ask => {
+            TokenDecision::Pending => {
                 node.waiting.entry(tenant).or_default().push(now);
                 node.has_event = true;
             }
@@ -234,8 +234,8 @@
             for since in waiting.drain(..) {
                 match node.sharing.take(now, *tenant) {
                     TokenDecision::Granted { .. } => self.granted.entry(*tenant).or_default().push(now),
-                    TokenDecision::Ask if now - since < longest_wait => still.push(since),
-                    TokenDecision::Ask | TokenDecision::Refused => {
+                    TokenDecision::Pending if now - since < longest_wait => still.push(since),
+                    TokenDecision::Pending | TokenDecision::Refused => {
                         *self.refused.entry(*tenant).or_default() += 1
                     }
                 }
@@ -261,7 +261,7 @@
         let reachable_pools: Vec<usize> =
             (0..self.nodes.len()).filter(|to| self.reaches(index, *to)).take(self.pools).collect();
         let node = &mut self.nodes[index];
-        node.pool.look(self.now);
+        node.pool.tick(self.now);
         let count = |waiting: &Vec<Instant>| u32::try_from(waiting.len()).expect("few");
         let waiting = node.waiting.iter().map(|(tenant, waiting)| (*tenant, count(waiting))).collect();
         let Some(report) = node.sharing.next_report(self.now, &waiting) else { return };
--- a/crates/quotas/tests/tokens.rs
+++ b/crates/quotas/tests/tokens.rs
@@ -47,7 +47,7 @@
 /// Requests a token for one waiting request.
 fn send_report(shares: &mut PooledShares, now: Instant) -> QuotaReport {
     shares.on_request(now, number("hot"));
-    assert_eq!(shares.take(now, number("hot")), TokenDecision::Ask);
+    assert_eq!(shares.take(now, number("hot")), TokenDecision::Pending);
     shares.next_report(now, &waiting(1)).expect("a request waits")
 }
 
@@ -82,9 +82,9 @@
     let report = send_report(&mut shares, start);
     shares.on_grant(start + millis(5), &grant(&report, 2), POOLS);
     let taken = take_all(&mut shares, start + millis(6));
-    shares.give_back(start + millis(40), number("hot"), taken[0]);
+    shares.return_token(start + millis(40), number("hot"), taken[0]);
     assert_eq!(take_all(&mut shares, start + millis(41)).len(), 1);
-    shares.give_back(start + TOKEN_LIFETIME, number("hot"), taken[1]);
+    shares.return_token(start + TOKEN_LIFETIME, number("hot"), taken[1]);
     assert_eq!(take_all(&mut shares, start + TOKEN_LIFETIME), []);
     assert_eq!(shares.expired_tokens(), 1);
 }
@@ -116,7 +116,7 @@
         let returned = TokenCount { tenant: support::number("hot"), tokens: out };
         let wanted = WantedTokens { tenant: support::number("hot"), waiting: u32::MAX, ahead: 0 };
         let report = QuotaReport {
-            life: 1,
+            process_id: 1,
             number,
             accrued_nanos: 50_000_000,
             spent: Vec::new(),
@@ -139,7 +139,7 @@
     for _ in 0..30 {
         now += millis(34);
         shares.on_request(now, number("hot"));
-        if shares.take(now, number("hot")) != TokenDecision::Ask {
+        if shares.take(now, number("hot")) != TokenDecision::Pending {
             continue;
         }
         for _ in 0..POOLS {
@@ -164,7 +164,7 @@
     let mut pool = TokenPool::default();
     pool.set_quotas(quotas_of(&[tenant("hot", RATE, BURST)]));
     let report = |number: u64, wants: u32| QuotaReport {
-        life: 1,
+        process_id: 1,
         number,
         accrued_nanos: 12_500_000,
         spent: Vec::new(),
@@ -174,7 +174,7 @@
     let mut now = start;
     for number in 1..=20 {
         now = start + millis(100 * number);
-        pool.look(now);
+        pool.tick(now);
         pool.on_report(now, &report(number, 0));
     }
     let resumed = now + pause;
