--- a/crates/daemon/src/back_end/announcement.rs
+++ b/crates/daemon/src/back_end/announcement.rs
@@ -18,7 +18,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Announcement {
     /// The process that sent the announcement.
-    pub life: BackEndProcess,
+    pub process: BackEndProcess,
     /// Service that it serves.
     pub service: ServiceName,
     /// Version of its software.
--- a/crates/daemon/src/back_end/check.rs
+++ b/crates/daemon/src/back_end/check.rs
@@ -51,7 +51,7 @@
         instance = health.instance.unwrap_or_else(|| UNNAMED.to_owned());
         let configured = monitor.configured_slots(&settings.service);
         monitor.confirm(BackEnd {
-            life: BackEndProcess::of(&instance),
+            process: BackEndProcess::of(&instance),
             service: settings.service.clone(),
             release: None,
             address: settings.address,
--- a/crates/daemon/src/back_end/monitor.rs
+++ b/crates/daemon/src/back_end/monitor.rs
@@ -145,7 +145,7 @@
     fn emit_state_changed(&self, state: &'static str, reason: &'static str) {
         let tracker = self.tracker.lock();
         let Some((back_end, sequence)) = tracker.current() else { return };
-        let (instance, service) = (back_end.life.to_string(), back_end.service.to_string());
+        let (instance, service) = (back_end.process.to_string(), back_end.service.to_string());
         drop(tracker);
         self.telemetry.emit(Event::BackEndStateChanged { instance, service, state, reason, sequence });
     }
@@ -174,8 +174,8 @@
             if let Some(path) = self.health_path(&back_end.service) {
                 let health = self.inbound.probe_health(back_end.address, &path).await;
                 match health.and_then(|health| health.instance.map(|instance| (instance, health.cold_for))) {
-                    Some((instance, cold_for)) if instance == back_end.life.instance => {
-                        let process = back_end.life.clone();
+                    Some((instance, cold_for)) if instance == back_end.process.instance => {
+                        let process = back_end.process.clone();
                         self.confirm(back_end);
                         self.on_cold(&process, cold_for);
                         return;
--- a/crates/daemon/src/back_end/probe.rs
+++ b/crates/daemon/src/back_end/probe.rs
@@ -26,7 +26,7 @@
                 && let (Some(instance), Some(slots)) = (health.instance, health.slots)
             {
                 let process = BackEndProcess::of(&instance);
-                monitor.confirm(BackEnd { life: process.clone(), service, release: None, address, slots });
+                monitor.confirm(BackEnd { process: process.clone(), service, release: None, address, slots });
                 monitor.on_cold(&process, health.cold_for);
                 return;
             }
--- a/crates/daemon/src/back_end/tracker.rs
+++ b/crates/daemon/src/back_end/tracker.rs
@@ -67,7 +67,7 @@
 /// A process that has ended.
 #[derive(Debug, Clone)]
 struct EndedProcess {
-    life: BackEndProcess,
+    process: BackEndProcess,
     /// Sequence number of its last announcement.
     sequence: Option<u64>,
     /// Whether it announced draining or withdrew itself; otherwise another process has replaced it.
@@ -101,7 +101,8 @@
             };
         };
         if !process.may_have_sent(now, announcement) {
-            let is_late = self.has_ended(announcement) || !self.may_be_succeeded_by(now, &announcement.life);
+            let is_late =
+                self.has_ended(announcement) || !self.may_be_succeeded_by(now, &announcement.process);
             return if is_late { Effect::None } else { self.on_new_process(now, announcement) };
         }
         if !process.is_reconfirmed && process.sequence.is_some_and(|known| known >= announcement.sequence) {
@@ -115,15 +116,19 @@
 
     /// Handles the withdrawal of `process`.
     pub fn on_withdrawn(&mut self, process: &BackEndProcess) -> Effect {
-        let Some(current) = self.current.as_mut().filter(|current| current.back_end.life.may_equal(process))
+        let Some(current) =
+            self.current.as_mut().filter(|current| current.back_end.process.may_equal(process))
         else {
-            self.remember_ended(EndedProcess { life: process.clone(), sequence: None, has_left: true });
+            self.remember_ended(EndedProcess { process: process.clone(), sequence: None, has_left: true });
             return Effect::None;
         };
         current.state = BackEndState::Draining;
         current.set_start(process);
-        let ended =
-            EndedProcess { life: current.back_end.life.clone(), sequence: current.sequence, has_left: true };
+        let ended = EndedProcess {
+            process: current.back_end.process.clone(),
+            sequence: current.sequence,
+            has_left: true,
+        };
         self.remember_ended(ended);
         Effect::Close(CloseReason::Withdrawn)
     }
@@ -131,9 +136,11 @@
     /// Handles a successful health check of `back_end`. The response doesn't identify the process by its
     /// start time.
     pub fn on_confirmed(&mut self, now: Instant, back_end: BackEnd) -> Effect {
-        let is_current =
-            self.current.as_ref().is_some_and(|process| process.back_end.life.may_equal(&back_end.life));
-        if !is_current && self.ended.iter().any(|ended| ended.life.may_equal(&back_end.life)) {
+        let is_current = self
+            .current
+            .as_ref()
+            .is_some_and(|process| process.back_end.process.may_equal(&back_end.process));
+        if !is_current && self.ended.iter().any(|ended| ended.process.may_equal(&back_end.process)) {
             return Effect::None;
         }
         self.may_be_draining = false;
@@ -152,7 +159,7 @@
                     process.back_end = back_end;
                 }
                 Effect::Open(BackEnd {
-                    life: BackEndProcess::of(&process.back_end.life.instance),
+                    process: BackEndProcess::of(&process.back_end.process.instance),
                     ..process.back_end.clone()
                 })
             }
@@ -175,7 +182,7 @@
     /// Records the remaining warm-up time that a process reported.
     pub fn on_cold(&mut self, now: Instant, reported: &BackEndProcess, cold_for: Duration) {
         if let Some(process) =
-            self.current.as_mut().filter(|process| process.back_end.life.may_equal(reported))
+            self.current.as_mut().filter(|process| process.back_end.process.may_equal(reported))
         {
             process.cold_until = now + cold_for;
         }
@@ -185,7 +192,7 @@
     pub fn on_unreachable(&mut self, reported: &BackEndProcess) -> Effect {
         match &mut self.current {
             Some(process)
-                if process.back_end.life.may_equal(reported) && process.state == BackEndState::Ready =>
+                if process.back_end.process.may_equal(reported) && process.state == BackEndState::Ready =>
             {
                 process.state = BackEndState::Unreachable;
                 Effect::Confirm(process.back_end.clone())
@@ -199,7 +206,7 @@
     pub fn record(&self, now: Instant) -> Option<BackEndRecord> {
         let process = self.current.as_ref()?;
         Some(BackEndRecord {
-            instance: process.back_end.life.to_string(),
+            instance: process.back_end.process.to_string(),
             service: process.back_end.service.clone(),
             release: process.back_end.release.clone(),
             slots: process.back_end.slots,
@@ -227,7 +234,7 @@
         let Some(process) = &mut self.current else { return Effect::None };
         if announcement.state == AnnouncedState::Draining {
             let is_change = process.state != BackEndState::Draining;
-            process.set_start(&announcement.life);
+            process.set_start(&announcement.process);
             process.state = BackEndState::Draining;
             return if is_change { Effect::Close(CloseReason::Draining) } else { Effect::None };
         }
@@ -277,16 +284,16 @@
         let Some(current) = &self.current else { return true };
         let is_silent = now.saturating_duration_since(current.last_seen_at) > MAX_ANNOUNCEMENT_DELAY;
         let is_over = current.state == BackEndState::Unreachable || is_silent;
-        is_over || !process.started_before(&current.back_end.life)
+        is_over || !process.started_before(&current.back_end.process)
     }
 
     /// Whether an announcement is a delayed one of an ended process. A process that was only replaced,
     /// started after the current one and sends further announcements is not considered ended.
     fn has_ended(&self, announcement: &Announcement) -> bool {
-        let is_same_process = |ended: &&EndedProcess| ended.life == announcement.life;
+        let is_same_process = |ended: &&EndedProcess| ended.process == announcement.process;
         let Some(ended) = self.ended.iter().find(is_same_process) else { return false };
-        let current = self.current.as_ref().map(|current| &current.back_end.life);
-        let started_after = current.is_some_and(|current| current.started_before(&ended.life));
+        let current = self.current.as_ref().map(|current| &current.back_end.process);
+        let started_after = current.is_some_and(|current| current.started_before(&ended.process));
         let is_newer = ended.sequence.is_some_and(|known| announcement.sequence > known);
         ended.has_left || !started_after || !is_newer
     }
@@ -295,12 +302,16 @@
     fn end_current(&mut self) -> bool {
         let Some(before) = self.current.take() else { return false };
         let has_left = before.state == BackEndState::Draining;
-        self.remember_ended(EndedProcess { life: before.back_end.life, sequence: before.sequence, has_left });
+        self.remember_ended(EndedProcess {
+            process: before.back_end.process,
+            sequence: before.sequence,
+            has_left,
+        });
         true
     }
 
     fn remember_ended(&mut self, ended: EndedProcess) {
-        self.ended.retain(|known| known.life != ended.life);
+        self.ended.retain(|known| known.process != ended.process);
         if self.ended.len() >= MAX_ENDED_PROCESSES {
             self.ended.pop_front();
         }
@@ -312,7 +323,7 @@
     /// Whether this process may have sent an announcement. If it was unreachable and then healthy again, the
     /// first announcement after that may come from any process of the back end that didn't start earlier.
     fn may_have_sent(&self, now: Instant, announcement: &Announcement) -> bool {
-        let (known, reported) = (&self.back_end.life, &announcement.life);
+        let (known, reported) = (&self.back_end.process, &announcement.process);
         let may_have_changed =
             self.is_reconfirmed && known.instance == reported.instance && !reported.started_before(known);
         (known.may_equal(reported) || may_have_changed) && !self.must_have_ended(now, reported)
@@ -322,21 +333,21 @@
     /// announcement with a start time must come from its successor.
     fn must_have_ended(&self, now: Instant, reported: &BackEndProcess) -> bool {
         let is_silent = now.saturating_duration_since(self.last_seen_at) > MAX_ANNOUNCEMENT_DELAY;
-        let adds_start = self.back_end.life.born.is_none() && reported.born.is_some();
+        let adds_start = self.back_end.process.started_at.is_none() && reported.started_at.is_some();
         self.state == BackEndState::Draining && adds_start && is_silent
     }
 
     /// Records the start time of this process, if `reported` has one.
     fn set_start(&mut self, reported: &BackEndProcess) {
-        if reported.born.is_some() {
-            self.back_end.life = reported.clone();
+        if reported.started_at.is_some() {
+            self.back_end.process = reported.clone();
         }
     }
 }
 
 fn back_end(announcement: &Announcement) -> BackEnd {
     BackEnd {
-        life: announcement.life.clone(),
+        process: announcement.process.clone(),
         service: announcement.service.clone(),
         release: announcement.release.clone(),
         address: announcement.address,
--- a/crates/daemon/src/back_end/warmth.rs
+++ b/crates/daemon/src/back_end/warmth.rs
@@ -32,13 +32,13 @@
 async fn probe(monitor: &Arc<BackEndMonitor>, back_end: &BackEnd) -> bool {
     let Some(path) = monitor.health_path(&back_end.service) else { return false };
     let Some(health) = monitor.inbound().probe_health(back_end.address, &path).await else { return false };
-    if health.instance.is_some_and(|instance| instance != back_end.life.instance) {
+    if health.instance.is_some_and(|instance| instance != back_end.process.instance) {
         return false;
     }
     if health.cold_for.is_zero() {
         monitor.inbound().on_warmth_probe_succeeded();
     } else {
-        monitor.on_cold(&back_end.life, health.cold_for);
+        monitor.on_cold(&back_end.process, health.cold_for);
     }
     true
 }
--- a/crates/daemon/src/rollouts/task.rs
+++ b/crates/daemon/src/rollouts/task.rs
@@ -140,7 +140,7 @@
             is_cold: record.is_cold,
             is_closed: !self.task.inbound.is_release_open(),
             in_flight: load.running + load.waiting,
-            routes: self.task.inbound.answers(),
+            routes: self.task.inbound.response_tallies(),
         };
         let _ = self.task.membership.send_message(MembershipMessage::ReportEvidence(Box::new(evidence)));
     }
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -183,8 +183,9 @@
         caller: config.service.clone(),
         seed: environment.seed_for(SeedUse::RequestPath),
     };
-    let draw = if config.chooses_by_speed { SamplingSettings::BY_SPEED } else { SamplingSettings::default() };
-    let selector = SelectorSettings { draw, ..SelectorSettings::default() };
+    let sampling =
+        if config.chooses_by_speed { SamplingSettings::BY_SPEED } else { SamplingSettings::default() };
+    let selector = SelectorSettings { sampling, ..SelectorSettings::default() };
     let retry_budget = config.retry_budget;
     let settings = OutboundSettings { selector, retry_budget, ..OutboundSettings::default() };
     Outbound::new(
@@ -227,7 +228,7 @@
     /// # Errors
     /// Returns the reason if it is not ready.
     pub fn readiness(&self) -> Result<(), Unready> {
-        if self.control.phase() >= ServerPhase::Leaving {
+        if self.control.phase() >= ServerPhase::Draining {
             self.unready_responses.fetch_add(1, Ordering::Relaxed);
             return Err(Unready::Stopping);
         }
--- a/crates/daemon/tests/back_end_tracker.rs
+++ b/crates/daemon/tests/back_end_tracker.rs
@@ -10,7 +10,7 @@
 
 fn announcement(instance: &str, state: AnnouncedState, sequence: u64) -> Announcement {
     Announcement {
-        life: BackEndProcess::of(instance),
+        process: BackEndProcess::of(instance),
         release: None,
         service: "archive".parse().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
@@ -31,7 +31,7 @@
 
 fn back_end(instance: &str) -> BackEnd {
     BackEnd {
-        life: BackEndProcess::of(instance),
+        process: BackEndProcess::of(instance),
         release: None,
         service: "archive".parse().unwrap(),
         address: "10.0.0.1:80".parse().unwrap(),
@@ -137,17 +137,17 @@
     assert_eq!(tracker.on_announcement(now, &grown), Effect::Open(expected));
 }
 
-/// The process of `instance` that started at `born`.
-fn process(instance: &str, born: u64) -> BackEndProcess {
-    BackEndProcess { instance: instance.to_owned(), born: Some(born) }
+/// The process of `instance` that started at `started_at`.
+fn process(instance: &str, started_at: u64) -> BackEndProcess {
+    BackEndProcess { instance: instance.to_owned(), started_at: Some(started_at) }
 }
 
 fn ready_announcement(process: &BackEndProcess, sequence: u64) -> Announcement {
-    Announcement { life: process.clone(), ..ready_for("a", sequence) }
+    Announcement { process: process.clone(), ..ready_for("a", sequence) }
 }
 
 fn open_effect(process: &BackEndProcess) -> Effect {
-    Effect::Open(BackEnd { life: process.clone(), ..back_end("a") })
+    Effect::Open(BackEnd { process: process.clone(), ..back_end("a") })
 }
 
 #[test]
@@ -226,7 +226,7 @@
     }
     let mut tracker = BackEndTracker::new(true);
     tracker.on_confirmed(now, back_end("a"));
-    let leaving = Announcement { life: first.clone(), ..draining("a", 9) };
+    let leaving = Announcement { process: first.clone(), ..draining("a", 9) };
     assert_eq!(tracker.on_announcement(now, &leaving), Effect::Close(CloseReason::Draining));
     assert_eq!(tracker.on_announcement(now, &ready_announcement(&second, 1)), open_effect(&second));
 }
@@ -243,13 +243,13 @@
             let number = usize::from(which % 3);
             let process = process("a", 100 + number as u64);
             let effect = match kind % 4 {
-                0 => tracker.on_announcement(now, &Announcement { life: process, ..draining("a", u64::from(sequence)) }),
+                0 => tracker.on_announcement(now, &Announcement { process, ..draining("a", u64::from(sequence)) }),
                 1 => tracker.on_withdrawn(&process),
                 2 => tracker.on_unreachable(&process),
                 _ => tracker.on_announcement(now, &ready_announcement(&process, u64::from(sequence))),
             };
             if let Effect::Open(opened) = &effect
-                && opened.life.born.is_some_and(|born| left[usize::try_from(born - 100).unwrap()])
+                && opened.process.started_at.is_some_and(|started_at| left[usize::try_from(started_at - 100).unwrap()])
             {
                 return false;
             }
@@ -274,7 +274,7 @@
                 _ => tracker.on_announcement(now, &ready_for(instance, u64::from(sequence))),
             };
             if let Effect::Open(opened) = &effect
-                && ["a", "b", "c"].iter().zip(left).any(|(name, left)| opened.life.instance == *name && left)
+                && ["a", "b", "c"].iter().zip(left).any(|(name, left)| opened.process.instance == *name && left)
             {
                 return false;
             }
--- a/crates/forwarding/src/header_profile.rs
+++ b/crates/forwarding/src/header_profile.rs
@@ -73,12 +73,12 @@
     /// Signature by which the back end proves the body is its own; `None` if back ends don't sign.
     pub signature: Option<&'static str>,
     /// Header fields added to each response to a caller; `None` if callers don't know such fields.
-    pub marks: Option<ResponseHeaders>,
+    pub response_headers: Option<ResponseHeaders>,
 }
 
 impl HeaderProfile {
     /// The default names.
-    pub const OWN: Self = Self {
+    pub const DEFAULT: Self = Self {
         request_id: "umberpond-request-id",
         call_separator: Some(b'.'),
         echoes_request_id: false,
@@ -93,7 +93,7 @@
         load: "umberpond-load",
         warmup_millis: Some("umberpond-cold-millis"),
         signature: None,
-        marks: Some(ResponseHeaders {
+        response_headers: Some(ResponseHeaders {
             outcome: "umberpond-outcome",
             reason: "umberpond-reason",
             served_by: "umberpond-served-by",
--- a/crates/forwarding/src/hop/protocol.rs
+++ b/crates/forwarding/src/hop/protocol.rs
@@ -82,7 +82,7 @@
     max_queue_wait: u64,
     service_time: u64,
     is_caller_retry: bool,
-    is_repeat: bool,
+    is_retry: bool,
     call: Option<HopCall>,
     pub(crate) body: HopBody,
 }
@@ -151,7 +151,7 @@
             max_queue_wait: micros(attempt.max_queue_wait),
             service_time: micros(attempt.service_time),
             is_caller_retry: attempt.is_caller_retry,
-            is_repeat: attempt.is_repeat,
+            is_retry: attempt.is_retry,
             call: attempt.call.as_ref().map(HopCall::of),
             body,
         }
@@ -182,7 +182,7 @@
             max_queue_wait: Duration::from_micros(self.max_queue_wait),
             service_time: Duration::from_micros(self.service_time),
             is_caller_retry: self.is_caller_retry,
-            is_repeat: self.is_repeat,
+            is_retry: self.is_retry,
             call: self.call.map(HopCall::into_call),
         }
     }
--- a/crates/forwarding/src/inbound/back_end.rs
+++ b/crates/forwarding/src/inbound/back_end.rs
@@ -59,7 +59,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct BackEnd {
     /// Identity of the process.
-    pub life: BackEndProcess,
+    pub process: BackEndProcess,
     /// Service that the back end implements.
     pub service: ServiceName,
     /// Software release; `None` if the back end has not reported it.
@@ -105,7 +105,7 @@
     pub(super) is_evacuated: AtomicBool,
     /// Whether the rollout of the service routes any requests to the back end's release.
     is_release_open: AtomicBool,
-    pub(super) answers: Mutex<ResponseTally>,
+    pub(super) response_tallies: Mutex<ResponseTally>,
     pub(super) runs: Arc<ActiveRuns>,
     pub(super) calls: CallGate,
     pub(super) suspended: Arc<SuspendedTime>,
@@ -147,7 +147,7 @@
             access: ArcSwapOption::empty(),
             is_evacuated: AtomicBool::new(false),
             is_release_open: AtomicBool::new(true),
-            answers: Mutex::default(),
+            response_tallies: Mutex::default(),
             runs: Arc::new(ActiveRuns::new(header_profile.call_separator)),
             calls: CallGate::default(),
             suspended: Arc::default(),
@@ -169,12 +169,12 @@
     pub fn open(&self, back_end: BackEnd) {
         let mut current = self.current.lock();
         let is_same = current.as_ref().is_some_and(|held| {
-            held.back_end.life.may_equal(&back_end.life) && held.back_end.address == back_end.address
+            held.back_end.process.may_equal(&back_end.process) && held.back_end.address == back_end.address
         });
         if !is_same {
             self.admission.close();
             self.admission.reset_back_end();
-            self.answers.lock().clear();
+            self.response_tallies.lock().clear();
         }
         let (pool, watch) = match current.take() {
             Some(held) if is_same && !held.watch.is_crash_known() => (held.pool, held.watch),
@@ -193,7 +193,7 @@
     /// accepting requests, it ended without announcing its shutdown, which counts as a crash.
     fn handle_replacement(&self, before: Option<CurrentBackEnd>) {
         let Some(before) = before.filter(|before| before.is_open) else { return };
-        if let Some(report) = before.watch.record_crash(&before.back_end.life.instance) {
+        if let Some(report) = before.watch.record_crash(&before.back_end.process.instance) {
             self.on_crash(&before.back_end, "replaced", &report);
         }
     }
@@ -280,8 +280,8 @@
 
     /// Response counts of the back end by route.
     #[must_use]
-    pub fn answers(&self) -> Vec<RouteTally> {
-        self.answers.lock().routes()
+    pub fn response_tallies(&self) -> Vec<RouteTally> {
+        self.response_tallies.lock().routes()
     }
 
     /// Load report of the back end.
@@ -311,7 +311,7 @@
         let current = self.current.lock();
         let Some(back_end) = current.as_ref().map(|current| &current.back_end) else { return false };
         let is_same_process =
-            health.instance.as_ref().is_none_or(|reported| *reported == back_end.life.instance);
+            health.instance.as_ref().is_none_or(|reported| *reported == back_end.process.instance);
         back_end.address == address && is_same_process
     }
 
@@ -361,7 +361,7 @@
     pub(super) fn on_crash(&self, back_end: &BackEnd, found: &'static str, report: &CrashReport) {
         let fingerprints: Vec<String> = report.requests.iter().map(|key| key.content.to_string()).collect();
         self.telemetry.emit(Event::BackEndCrashed {
-            instance: back_end.life.to_string(),
+            instance: back_end.process.to_string(),
             service: back_end.service.clone(),
             found,
             requests: report.requests.len() as u64,
@@ -370,10 +370,10 @@
         self.quarantine.on_crash(report.crash, &report.requests);
     }
 
-    pub(super) fn report_unreachable(&self, life: &BackEndProcess) {
+    pub(super) fn report_unreachable(&self, process: &BackEndProcess) {
         if let Some(watcher) = &*self.unreachable.lock() {
             // The receiver is dropped while the process shuts down.
-            let _ = watcher.send(life.clone());
+            let _ = watcher.send(process.clone());
         }
     }
 
--- a/crates/forwarding/src/inbound/serving.rs
+++ b/crates/forwarding/src/inbound/serving.rs
@@ -134,7 +134,7 @@
     /// Rejects a retried run if the retry budget does not cover its calls. Without them the run would fail,
     /// and hold a slot until then.
     fn check_calls(&self, attempt: &Attempt) -> Result<(), NotRun> {
-        if !attempt.is_repeat {
+        if !attempt.is_retry {
             return Ok(());
         }
         let Some(ledger) = self.ledger.get() else { return Ok(()) };
@@ -301,7 +301,11 @@
                 permit.on_answered();
                 self.admission.record_response(true);
                 let back_end_time = permit.elapsed();
-                self.answers.lock().record(attempt.route, status < FIRST_FAILURE_STATUS, back_end_time);
+                self.response_tallies.lock().record(
+                    attempt.route,
+                    status < FIRST_FAILURE_STATUS,
+                    back_end_time,
+                );
                 let body = attach_permit(body, permit);
                 let load = self.load();
                 AttemptResult::Answered(Response { status, fields, body, back_end_time, waited, load })
@@ -314,7 +318,7 @@
                 if reason == NotRunReason::BackEndUnreachable {
                     self.check_crash(target).await;
                     pool.clear();
-                    self.report_unreachable(&back_end.life);
+                    self.report_unreachable(&back_end.process);
                 }
                 self.report_refused(&attempt, NotRun::before_back_end(reason))
             }
@@ -339,7 +343,7 @@
                 self.telemetry.emit(Event::ExchangeLost {
                     request: id_text(&attempt.id),
                     fingerprint: attempt.request_key.content.to_string(),
-                    instance: back_end.life.to_string(),
+                    instance: back_end.process.to_string(),
                     reason: reason.as_str(),
                     elapsed_millis: millis(permit.elapsed()),
                 });
@@ -365,13 +369,13 @@
         if !watch.is_crash_known() && !self.accepts_requests(target) {
             return false;
         }
-        match watch.check_liveness(&back_end.life.instance, pool).await {
+        match watch.check_liveness(&back_end.process.instance, pool).await {
             Liveness::Alive => false,
             Liveness::KnownCrash => true,
             Liveness::NewCrash(report) => {
                 self.on_crash(back_end, "refused", &report);
                 pool.clear();
-                self.report_unreachable(&back_end.life);
+                self.report_unreachable(&back_end.process);
                 true
             }
         }
@@ -402,7 +406,7 @@
         let left = attempt.deadline.saturating_duration_since(Instant::now());
         fields.set(self.header_profile.request_id, attempt.id.clone());
         fields.set(self.header_profile.deadline_millis, decimal(millis(left)));
-        fields.set(self.header_profile.expected_instance, back_end.life.instance.clone().into_bytes());
+        fields.set(self.header_profile.expected_instance, back_end.process.instance.clone().into_bytes());
         fields.remove(self.header_profile.tenant_key);
         match &attempt.tenant {
             Some(tenant) => {
--- a/crates/forwarding/src/message.rs
+++ b/crates/forwarding/src/message.rs
@@ -111,7 +111,7 @@
     /// Whether the caller sent the request before, under another id, and was refused.
     pub is_caller_retry: bool,
     /// Whether this is a retry after the request reached a back end, or a call of a run that was a retry.
-    pub is_repeat: bool,
+    pub is_retry: bool,
     /// Data about the run at the caller's back end that depends on the response, if the request is a call.
     pub call: Option<RunCall>,
 }
--- a/crates/forwarding/src/outbound/attempts.rs
+++ b/crates/forwarding/src/outbound/attempts.rs
@@ -165,14 +165,14 @@
             is_idempotent: request.route.is_idempotent,
             route: request.route.number,
             priority: request.priority,
-            is_cross_zone: !choice.is_near,
+            is_cross_zone: !choice.is_same_zone,
             objective_at: request.objective_at(),
             deadline: request.deadline(),
             max_queue_wait: request.max_queue_wait(choice.service),
             queue_deadline: request.queue_deadline(),
             service_time: choice.service,
             is_caller_retry: request.is_caller_retry,
-            is_repeat: self.arrivals > 0 || request.origin == CallOrigin::RetriedRun,
+            is_retry: self.arrivals > 0 || request.origin == CallOrigin::RetriedRun,
             call: request.call(),
         }
     }
--- a/crates/forwarding/src/outbound/attempts/replies.rs
+++ b/crates/forwarding/src/outbound/attempts/replies.rs
@@ -38,7 +38,7 @@
             locality: self.outbound.locality_of(&self.request.service, node),
             version: self.request.version,
         };
-        Reply::from_response(response, self.outbound.header_profile.marks.as_ref(), &served)
+        Reply::from_response(response, self.outbound.header_profile.response_headers.as_ref(), &served)
     }
 
     fn attempts(&self) -> u32 {
@@ -129,7 +129,7 @@
             service: self.request.service.clone(),
             attempts: self.attempts(),
             origin: self.request.origin.as_str(),
-            stake: refusal.stake.map_or("none", RetryPriority::as_str),
+            stake: refusal.priority.map_or("none", RetryPriority::as_str),
             saved: refusal.saved,
             most_saved: refusal.most_saved,
         });
--- a/crates/forwarding/src/outbound/reply.rs
+++ b/crates/forwarding/src/outbound/reply.rs
@@ -95,7 +95,7 @@
     pub(crate) fn local(
         reason: ReplyReason,
         retry_after: Option<Duration>,
-        marks: Option<&ResponseHeaders>,
+        response_headers: Option<&ResponseHeaders>,
     ) -> Self {
         let word = reason.as_str();
         let mut fields = Fields::default();
@@ -103,9 +103,9 @@
         if let Some(after) = retry_after {
             fields.push(&b"Retry-After"[..], seconds(after));
         }
-        if let Some(marks) = marks {
-            fields.push(marks.outcome, reason.outcome());
-            fields.push(marks.reason, word);
+        if let Some(response_headers) = response_headers {
+            fields.push(response_headers.outcome, reason.outcome());
+            fields.push(response_headers.reason, word);
         }
         let body = ResponseBody::Whole(Bytes::from(word));
         Self { status: reason.status(), fields, body, closes: reason.closes(), reason: Some(reason) }
@@ -114,16 +114,16 @@
     /// A reply that forwards the response of a back end, with the node that served it and its locality.
     pub(crate) fn from_response(
         response: Response,
-        marks: Option<&ResponseHeaders>,
+        response_headers: Option<&ResponseHeaders>,
         served: &ServedBy<'_>,
     ) -> Self {
         let mut fields = response.fields;
-        if let Some(marks) = marks {
-            fields.set(marks.outcome, "answered");
-            fields.set(marks.served_by, served.node.to_string());
-            fields.set(marks.version, served.version.to_string());
+        if let Some(response_headers) = response_headers {
+            fields.set(response_headers.outcome, "answered");
+            fields.set(response_headers.served_by, served.node.to_string());
+            fields.set(response_headers.version, served.version.to_string());
             if let Some(locality) = &served.locality {
-                fields.set(marks.locality, locality.to_string());
+                fields.set(response_headers.locality, locality.to_string());
             }
         }
         Self { status: response.status, fields, body: response.body, closes: false, reason: None }
--- a/crates/forwarding/src/outbound/state.rs
+++ b/crates/forwarding/src/outbound/state.rs
@@ -309,7 +309,7 @@
         id: Option<&Bytes>,
     ) -> Reply {
         self.telemetry.metrics().request(reason.outcome(), RequestDetail::Reason(reason.as_str()));
-        let mut reply = Reply::local(reason, retry_after, self.header_profile.marks.as_ref());
+        let mut reply = Reply::local(reason, retry_after, self.header_profile.response_headers.as_ref());
         if let Some(id) = id {
             reply.fields.set(self.header_profile.request_id, id.clone());
         }
--- a/crates/forwarding/src/retries/active_runs.rs
+++ b/crates/forwarding/src/retries/active_runs.rs
@@ -67,7 +67,7 @@
 #[derive(Debug)]
 struct Run {
     context: RunContext,
-    is_repeat: bool,
+    is_retry: bool,
     /// Hash of the name of its route.
     route: u32,
     calls: RunCalls,
@@ -105,7 +105,7 @@
             state.swept_at = Some(now);
             state.runs.retain(|_id, run| run.expires_at.is_none_or(|at| at > now));
         }
-        let Attempt { id, is_repeat, route, deadline, .. } = attempt;
+        let Attempt { id, is_retry, route, deadline, .. } = attempt;
         let context = RunContext {
             priority: attempt.priority,
             level: attempt.level(),
@@ -114,7 +114,7 @@
         };
         let run = Run {
             context,
-            is_repeat: *is_repeat,
+            is_retry: *is_retry,
             route: *route,
             calls: RunCalls::new(),
             tracked_calls: TrackedCalls::default(),
@@ -133,7 +133,7 @@
             Some((_, count)) => *count += 1,
             None => run.calls.push((service.clone(), 1)),
         }
-        let origin = if run.is_repeat { CallOrigin::RetriedRun } else { CallOrigin::FirstRun };
+        let origin = if run.is_retry { CallOrigin::RetriedRun } else { CallOrigin::FirstRun };
         RequestSource { origin, run: Some(run.context.clone()) }
     }
 
@@ -167,7 +167,7 @@
     /// Number of retried runs of `route` at the back end.
     pub(crate) fn retried_runs(&self, route: u32) -> u32 {
         let state = self.state.lock();
-        let is_counted = |run: &&Run| run.is_repeat && run.route == route;
+        let is_counted = |run: &&Run| run.is_retry && run.route == route;
         u32::try_from(state.runs.values().filter(is_counted).count()).unwrap_or(u32::MAX)
     }
 
--- a/crates/forwarding/src/retries/ledger.rs
+++ b/crates/forwarding/src/retries/ledger.rs
@@ -57,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub(crate) struct RetryRefusal {
     /// Priority of the retry; `None` if it is useless because another call of the run has failed.
-    pub(crate) stake: Option<RetryPriority>,
+    pub(crate) priority: Option<RetryPriority>,
     /// Retries that the node has saved.
     pub(crate) saved: u64,
     /// Upper bound on the retries that it may save.
@@ -101,7 +101,7 @@
     ) -> RetryRefusal {
         let saved = to_whole(self.budget.available(now, nodes, settings));
         let max_savings = to_whole(self.budget.max_savings(now, nodes, settings));
-        RetryRefusal { stake: priority, saved, most_saved: max_savings }
+        RetryRefusal { priority, saved, most_saved: max_savings }
     }
 }
 
--- a/crates/forwarding/src/retries/tests.rs
+++ b/crates/forwarding/src/retries/tests.rs
@@ -25,7 +25,7 @@
     ServiceName::new(name).unwrap()
 }
 
-fn attempt(id: &'static str, is_repeat: bool) -> Attempt {
+fn attempt(id: &'static str, is_retry: bool) -> Attempt {
     let now = Instant::now();
     Attempt {
         id: Bytes::from_static(id.as_bytes()),
@@ -49,7 +49,7 @@
         max_queue_wait: Duration::ZERO,
         service_time: Duration::ZERO,
         is_caller_retry: false,
-        is_repeat,
+        is_retry,
         call: None,
     }
 }
@@ -154,14 +154,14 @@
     assert!(!ledger.can_afford_calls(ROUTE, 2), "six are reserved");
     drop(ledger.take_for(&called, lacks_two).unwrap());
     let refusal = ledger.take_for(&called, failed).unwrap_err();
-    assert_eq!((refusal.stake, refusal.saved, refusal.most_saved), (None, 6, 8));
+    assert_eq!((refusal.priority, refusal.saved, refusal.most_saved), (None, 6, 8));
     for _ in 0..2 {
         drop(ledger.take_for(&called, lacks_one).unwrap());
     }
     // Two of four are reserved for runs that lack one call: a quarter of eight, since three were requested.
     while ledger.take_for(&called, RetryInitiator::Caller { rank: 1 }).is_ok() {}
     let refusal = ledger.take_for(&called, lacks_two).unwrap_err();
-    assert_eq!((refusal.stake, refusal.saved), (Some(RetryPriority::RunLacksSeveralCalls), 1));
+    assert_eq!((refusal.priority, refusal.saved), (Some(RetryPriority::RunLacksSeveralCalls), 1));
     assert!(ledger.take_for(&called, lacks_one).is_ok());
     assert!(ledger.take_for(&called, lacks_one).is_err(), "the last one is spent");
 }
--- a/crates/forwarding/src/server/caller.rs
+++ b/crates/forwarding/src/server/caller.rs
@@ -124,7 +124,7 @@
     }
 
     fn is_leaving(&self) -> bool {
-        self.control.phase() >= ServerPhase::Leaving
+        self.control.phase() >= ServerPhase::Draining
     }
 
     fn start(&mut self, head: RequestHead, body: RequestBody, arrived: Instant) {
--- a/crates/forwarding/src/server/control.rs
+++ b/crates/forwarding/src/server/control.rs
@@ -12,7 +12,7 @@
     /// Requests are served.
     Serving,
     /// Requests are served, and each reply closes its connection.
-    Leaving,
+    Draining,
     /// New requests are refused; open ones are completed.
     Refusing,
 }
@@ -42,9 +42,9 @@
 impl ServerControl {
     /// Starts the shutdown: each reply to a caller closes its connection, and every request gets its final
     /// reply by `response_deadline`.
-    pub fn leave(&self, response_deadline: Instant) {
+    pub fn start_drain(&self, response_deadline: Instant) {
         self.response_deadline.send_replace(Some(response_deadline));
-        self.advance(ServerPhase::Leaving);
+        self.advance(ServerPhase::Draining);
     }
 
     /// Time by which every request must have its final reply; `None` while the process isn't shutting down.
--- a/crates/forwarding/tests/bodies.rs
+++ b/crates/forwarding/tests/bodies.rs
@@ -27,7 +27,7 @@
 fn set_slots(world: &World, slots: u32) {
     let served = &world.served[0];
     served.inbound.open(BackEnd {
-        life: umberpond_model::BackEndProcess::of(&served.endpoint.instance),
+        process: umberpond_model::BackEndProcess::of(&served.endpoint.instance),
         release: None,
         service: "archive".parse().unwrap(),
         address: std::net::SocketAddr::new(host(10), support::BACK_END_PORT),
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -59,7 +59,7 @@
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let other = BackEnd {
-        life: BackEndProcess::of("another"),
+        process: BackEndProcess::of("another"),
         service: name("billing"),
         release: None,
         address,
@@ -75,7 +75,7 @@
     let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     let unused_address = "10.0.0.10:999".parse().unwrap();
     let gone = BackEnd {
-        life: BackEndProcess::of("life-10"),
+        process: BackEndProcess::of("life-10"),
         service: name("archive"),
         release: None,
         address: unused_address,
@@ -104,7 +104,7 @@
     let world = World::with_routes(vec![vec![ok("a")]]).await;
     let mut kept = world.caller().await;
     assert_eq!(kept.ask("/write/a", "r1").await.fields.text("connection"), None);
-    world.control.leave(Instant::now() + Duration::from_secs(5));
+    world.control.start_drain(Instant::now() + Duration::from_secs(5));
     let response = kept.ask("/write/a", "r2").await;
     assert_eq!((response.status, response.fields.text("connection")), (200, Some("close")));
     assert!(kept.read().await.is_none());
@@ -118,7 +118,7 @@
     let mut open = world.caller().await;
     open.send("/write/a", "r1").await;
     pause(50).await;
-    world.control.leave(Instant::now() + Duration::from_secs(5));
+    world.control.start_drain(Instant::now() + Duration::from_secs(5));
     world.control.advance(ServerPhase::Refusing);
     let began = Instant::now();
     let refused = world.caller().await.ask("/write/a", "r2").await;
@@ -137,7 +137,7 @@
     early.send("/write/a", "r1").await;
     pause(50).await;
     let began = Instant::now();
-    world.control.leave(began + Duration::from_millis(700));
+    world.control.start_drain(began + Duration::from_millis(700));
     let mut late = world.caller().await;
     late.send("/write/a", "r2").await;
     assert_eq!(early.read().await.unwrap().status, 504);
--- a/crates/forwarding/tests/support/chain.rs
+++ b/crates/forwarding/tests/support/chain.rs
@@ -159,8 +159,8 @@
             }
         });
         let instance = format!("life-{at}");
-        let life = BackEndProcess::of(&instance);
-        inbound.open(BackEnd { life, service: name(of), release: None, address, slots });
+        let process = BackEndProcess::of(&instance);
+        inbound.open(BackEnd { process, service: name(of), release: None, address, slots });
         let address = SocketAddr::new(host(at), INBOUND_PORT);
         let listener = network.listen(address).await.unwrap();
         tokio::spawn(serve_inbound(listener, inbound, self.telemetry.clone()));
--- a/crates/forwarding/tests/support/fleet.rs
+++ b/crates/forwarding/tests/support/fleet.rs
@@ -233,7 +233,7 @@
         );
         let instance = format!("life-{number}");
         let back_end = BackEnd {
-            life: BackEndProcess::of(&instance),
+            process: BackEndProcess::of(&instance),
             service: name(service_of(number)),
             release: None,
             address: SocketAddr::new(host(address_of(number)), BACK_END_PORT),
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -44,7 +44,7 @@
     load: "umberpond-load",
     warmup_millis: Some("umberpond-cold"),
     signature: Some("x-proof"),
-    marks: None,
+    response_headers: None,
 };
 
 pub fn name<N: std::str::FromStr>(text: &str) -> N {
@@ -214,7 +214,7 @@
         let at = SocketAddr::new(host(number), BACK_END_PORT);
         let back_end = ScriptedBackEnd::start(&network, at, &instance, script).await;
         inbound.open(BackEnd {
-            life: BackEndProcess::of(&instance),
+            process: BackEndProcess::of(&instance),
             service: name("archive"),
             release: None,
             address: at,
--- a/crates/model/src/back_end_process.rs
+++ b/crates/model/src/back_end_process.rs
@@ -10,35 +10,35 @@
     pub instance: String,
     /// Unix milliseconds of the process start by the clock of its own machine; absent if the back end does
     /// not report it.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 impl BackEndProcess {
     /// The process of the back end called `instance`, with an unknown start time.
     #[must_use]
     pub fn of(instance: &str) -> Self {
-        Self { instance: instance.to_owned(), born: None }
+        Self { instance: instance.to_owned(), started_at: None }
     }
 
     /// Whether `self` and `other` may be the same process. A process with an unknown start time matches any
     /// process of the same back end.
     #[must_use]
     pub fn may_equal(&self, other: &Self) -> bool {
-        let both_known = self.born.is_some() && other.born.is_some();
-        self.instance == other.instance && (!both_known || self.born == other.born)
+        let both_known = self.started_at.is_some() && other.started_at.is_some();
+        self.instance == other.instance && (!both_known || self.started_at == other.started_at)
     }
 
     /// Whether this process started before `other`, by the clocks of their machines; `false` if either start
     /// time is unknown.
     #[must_use]
     pub fn started_before(&self, other: &Self) -> bool {
-        self.born.zip(other.born).is_some_and(|(one, other)| one < other)
+        self.started_at.zip(other.started_at).is_some_and(|(one, other)| one < other)
     }
 }
 
 impl fmt::Display for BackEndProcess {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         formatter.write_str(&self.instance)?;
-        self.born.map_or(Ok(()), |born| write!(formatter, "@{born}"))
+        self.started_at.map_or(Ok(()), |started_at| write!(formatter, "@{started_at}"))
     }
 }
--- a/crates/selection/src/choice.rs
+++ b/crates/selection/src/choice.rs
@@ -32,7 +32,7 @@
     /// Whether a slot is free there, as far as this node knows.
     pub has_free_slot: bool,
     /// Whether the endpoint is in this node's zone.
-    pub is_near: bool,
+    pub is_same_zone: bool,
     /// Identity of the back-end process that the request is meant for.
     pub instance: String,
     /// Expected service time in the back end at its usual speed.
--- a/crates/selection/src/selector.rs
+++ b/crates/selection/src/selector.rs
@@ -41,7 +41,7 @@
     /// Cost of a lost response.
     pub failure_cost: f64,
     /// How endpoints are sampled for each selection.
-    pub draw: SamplingSettings,
+    pub sampling: SamplingSettings,
 }
 
 impl Default for SelectorSettings {
@@ -51,7 +51,7 @@
             zone_cost_after_refusal: 0.3,
             region_cost: 0.5,
             failure_cost: 1.5,
-            draw: SamplingSettings::default(),
+            sampling: SamplingSettings::default(),
         }
     }
 }
@@ -263,7 +263,7 @@
         typical: f64,
         random: &mut impl Rng,
     ) -> Vec<&'a EndpointState> {
-        let settings = &self.settings.draw;
+        let settings = &self.settings.sampling;
         if !settings.is_by_speed() {
             let by_distance = self.by_distance(endpoints, |state| state);
             let sampled =
@@ -317,7 +317,7 @@
             node: state.endpoint.node.clone(),
             address: state.endpoint.address,
             has_free_slot: state.estimated_load() + 1.0 <= state.slots(),
-            is_near: self.distance(&state.endpoint.locality) == Distance::SameZone,
+            is_same_zone: self.distance(&state.endpoint.locality) == Distance::SameZone,
             instance: state.endpoint.instance.clone(),
             service: Duration::from_secs_f64(estimate.service),
             wait: Duration::from_secs_f64(estimate.wait),
--- a/crates/selection/tests/simulation/mod.rs
+++ b/crates/selection/tests/simulation/mod.rs
@@ -58,7 +58,7 @@
     pub callers_get_slowdown: bool,
     /// Interval between two load reports of a node to all others.
     pub report_interval: Duration,
-    pub draw: SamplingSettings,
+    pub sampling: SamplingSettings,
     pub seed: u64,
 }
 
@@ -151,7 +151,7 @@
         let service = parsed("archive");
         let endpoints: Vec<Endpoint> = (0..NODES).map(endpoint).collect();
         let callers = (0..NODES).map(|number| {
-            let settings = SelectorSettings { draw: scenario.draw, ..SelectorSettings::default() };
+            let settings = SelectorSettings { sampling: scenario.sampling, ..SelectorSettings::default() };
             let mut selector = Selector::new(endpoints[number].locality.clone(), settings);
             selector.set_endpoints(epoch, &service, endpoints.clone());
             selector
--- a/crates/selection/tests/speeds.rs
+++ b/crates/selection/tests/speeds.rs
@@ -54,7 +54,8 @@
 
 impl Fixture {
     fn new(count: usize) -> Self {
-        let settings = SelectorSettings { draw: SamplingSettings::BY_SPEED, ..SelectorSettings::default() };
+        let settings =
+            SelectorSettings { sampling: SamplingSettings::BY_SPEED, ..SelectorSettings::default() };
         let mut selector = Selector::new(locality(), settings);
         let (service, now) = (name("archive"), Instant::now());
         selector.set_endpoints(now, &service, (0..count).map(endpoint).collect());
--- a/crates/selection/tests/uneven.rs
+++ b/crates/selection/tests/uneven.rs
@@ -26,7 +26,7 @@
         reports_slowdown: false,
         callers_get_slowdown: false,
         report_interval: Duration::from_millis(300),
-        draw: UNIFORM_SAMPLING,
+        sampling: UNIFORM_SAMPLING,
         seed: 0,
     }
 }
@@ -48,7 +48,7 @@
 #[test]
 fn sampling_by_speed_halves_avoidable_late_responses_under_low_load() {
     let before = simulate_seeds(scenario(LOW_LOAD), 12);
-    let after = simulate_seeds(Scenario { draw: SamplingSettings::BY_SPEED, ..scenario(LOW_LOAD) }, 12);
+    let after = simulate_seeds(Scenario { sampling: SamplingSettings::BY_SPEED, ..scenario(LOW_LOAD) }, 12);
     assert!(after.avoidable * 2 <= before.avoidable, "{before:?}, {after:?}");
     assert!(after.late < before.late && after.refused <= before.refused + 5, "{before:?}, {after:?}");
 }
@@ -57,7 +57,7 @@
 #[test]
 fn sampling_by_speed_loses_no_timely_responses_under_overload() {
     let before = simulate_seeds(scenario(OVERLOAD), 4);
-    let after = simulate_seeds(Scenario { draw: SamplingSettings::BY_SPEED, ..scenario(OVERLOAD) }, 4);
+    let after = simulate_seeds(Scenario { sampling: SamplingSettings::BY_SPEED, ..scenario(OVERLOAD) }, 4);
     assert!(is_no_less(after.in_time, before.in_time), "{before:?}, {after:?}");
 }
 
@@ -66,7 +66,7 @@
 #[test]
 fn reported_slowdowns_avoid_a_third_of_avoidable_late_responses() {
     let without_reports =
-        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
+        Scenario { has_slow_intervals: true, sampling: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
     let before = simulate_seeds(without_reports, 4);
     let after =
         simulate_seeds(Scenario { reports_slowdown: true, callers_get_slowdown: true, ..without_reports }, 4);
@@ -79,7 +79,7 @@
 #[test]
 fn reported_slowdowns_avoid_a_third_of_all_late_responses() {
     let without_reports =
-        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
+        Scenario { has_slow_intervals: true, sampling: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
     let before = simulate_seeds(without_reports, 4);
     let after =
         simulate_seeds(Scenario { reports_slowdown: true, callers_get_slowdown: true, ..without_reports }, 4);
@@ -89,7 +89,7 @@
 #[test]
 fn reported_slowdowns_lose_no_timely_responses_under_overload() {
     let without_reports =
-        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(OVERLOAD) };
+        Scenario { has_slow_intervals: true, sampling: SamplingSettings::BY_SPEED, ..scenario(OVERLOAD) };
     let before = simulate_seeds(without_reports, 4);
     let after =
         simulate_seeds(Scenario { reports_slowdown: true, callers_get_slowdown: true, ..without_reports }, 4);
@@ -102,7 +102,7 @@
 #[test]
 fn refusals_alone_avoid_late_responses_if_callers_get_no_slowdowns() {
     let without_reports =
-        Scenario { has_slow_intervals: true, draw: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
+        Scenario { has_slow_intervals: true, sampling: SamplingSettings::BY_SPEED, ..scenario(HIGH_LOAD) };
     let before = simulate_seeds(without_reports, 4);
     let after = simulate_seeds(Scenario { reports_slowdown: true, ..without_reports }, 4);
     assert!(after.late < before.late && after.refused_as_slow > 0, "{before:?}, {after:?}");
--- a/crates/umberpond/src/cli/node.rs
+++ b/crates/umberpond/src/cli/node.rs
@@ -148,7 +148,7 @@
         rollouts: None,
         quarantine: None,
         evacuations: None,
-        header_profile: HeaderProfile::OWN,
+        header_profile: HeaderProfile::DEFAULT,
     };
     let admin = config.listen.admin;
     let daemon = Arc::new(Daemon::start(config, environment.clone(), extensions).await?);
--- a/testing/sim/src/cluster/process.rs
+++ b/testing/sim/src/cluster/process.rs
@@ -183,7 +183,7 @@
             rollouts: None,
             quarantine: None,
             evacuations: None,
-            header_profile: HeaderProfile::OWN,
+            header_profile: HeaderProfile::DEFAULT,
         };
         let daemon = Arc::new(Daemon::start(self.config(), environment.clone(), extensions).await?);
         let time_of_day =
