--- a/crates/daemon/src/configuration/message.rs
+++ b/crates/daemon/src/configuration/message.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use ractor::RpcReplyPort;
-use umberpond_distribution::Held;
+use umberpond_distribution::ConfigurationId;
 use umberpond_model::Version;
 
 use super::source::Sourced;
@@ -20,7 +20,7 @@
     /// A configuration read from the store.
     Sourced(Box<Sourced>),
     /// Another node requests changes since the configuration it holds; the reply is an encoded transfer.
-    Pull { held: Option<Held>, reply: RpcReplyPort<Arc<[u8]>> },
+    Pull { held: Option<ConfigurationId>, reply: RpcReplyPort<Arc<[u8]>> },
 }
 
 /// Result of a fetch from another node.
--- a/crates/daemon/src/configuration/peers.rs
+++ b/crates/daemon/src/configuration/peers.rs
@@ -14,7 +14,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::JoinSet;
 use tokio::time::timeout;
-use umberpond_distribution::Held;
+use umberpond_distribution::ConfigurationId;
 use umberpond_net::{BoxListener, BoxStream, FrameError, FrameReader, FrameWriter, Network};
 use umberpond_telemetry::{Direction, Event, Metrics, Telemetry};
 
@@ -41,7 +41,7 @@
 #[derive(Debug, Encode, Decode)]
 enum PeerRequest {
     /// Requests everything that is newer than the given configuration.
-    Pull(Option<Held>),
+    Pull(Option<ConfigurationId>),
 }
 
 /// A part of the response.
@@ -59,12 +59,12 @@
 pub(super) const TRANSFER: &str = "configuration";
 
 /// Fetches from the node at `peer` what is newer than `held`.
-pub(super) async fn fetch(network: &dyn Network, peer: SocketAddr, held: Option<Held>) -> Fetched {
+pub(super) async fn fetch(network: &dyn Network, peer: SocketAddr, held: Option<ConfigurationId>) -> Fetched {
     let exchange = timeout(EXCHANGE_TIMEOUT, exchange(network, peer, held));
     exchange.await.ok().flatten().unwrap_or(Fetched::NoResponse)
 }
 
-async fn exchange(network: &dyn Network, peer: SocketAddr, held: Option<Held>) -> Option<Fetched> {
+async fn exchange(network: &dyn Network, peer: SocketAddr, held: Option<ConfigurationId>) -> Option<Fetched> {
     let stream = timeout(CONNECT_TIMEOUT, network.connect(peer)).await.ok()?.ok()?;
     let (reader, writer) = tokio::io::split(stream);
     let mut writer: FrameWriter<WriteHalf<BoxStream>, PeerRequest> = FrameWriter::new(writer);
--- a/crates/daemon/src/membership/actor.rs
+++ b/crates/daemon/src/membership/actor.rs
@@ -220,10 +220,10 @@
         }
         let outgoing = self.membership.on_datagram(now, from, datagram);
         let Datagram::Heartbeat(heartbeat) = datagram else { return outgoing };
-        if let Some((node, service)) = self.membership.back_end_of(heartbeat.word.order()) {
+        if let Some((node, service)) = self.membership.back_end_of(heartbeat.sender.order()) {
             self.outbound.on_report(service, node, heartbeat.load);
         }
-        let sender = self.membership.record_of(heartbeat.word.order());
+        let sender = self.membership.record_of(heartbeat.sender.order());
         if let (Some(actor), Some(version), Some(sender)) =
             (&self.configuration, heartbeat.configuration.version, sender)
         {
--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -39,7 +39,7 @@
     /// Sends findings of this node to other nodes.
     pub(super) fn broadcast(membership: &mut Membership, records: &[SuspectRecord]) -> Vec<Outgoing> {
         let audience = membership.audience();
-        audience.into_iter().flat_map(|to| in_datagrams(to, records, SuspectMessage::Told)).collect()
+        audience.into_iter().flat_map(|to| in_datagrams(to, records, SuspectMessage::Records)).collect()
     }
 
     /// Handles a message of the node at `from`.
@@ -50,7 +50,7 @@
         message: &SuspectMessage,
     ) -> Vec<Outgoing> {
         match message {
-            SuspectMessage::Told(records) => {
+            SuspectMessage::Records(records) => {
                 let changed = self.quarantine.merge(records, FindingSource::Node).changed;
                 if changed.is_empty() || membership.broadcasts_to_all() {
                     return Vec::new();
--- a/crates/daemon/src/start.rs
+++ b/crates/daemon/src/start.rs
@@ -158,7 +158,7 @@
 fn own_record(config: &NodeConfig, environment: &Environment, listeners: &Listeners) -> MemberRecord {
     MemberRecord {
         node: config.node.clone(),
-        life: environment.seed_for(SeedUse::Life),
+        process_id: environment.seed_for(SeedUse::Life),
         incarnation: Incarnation(1),
         sequence: 0,
         control: config.advertise.control.unwrap_or_else(|| listeners.control.local_addr()),
--- a/crates/distribution/src/history.rs
+++ b/crates/distribution/src/history.rs
@@ -6,7 +6,7 @@
 use umberpond_config::{Delta, Snapshot};
 use umberpond_model::{ContentHash, Version};
 
-use crate::transfer::{Held, Transfer, TransferError};
+use crate::transfer::{ConfigurationId, Transfer, TransferError};
 
 /// Maximum number of cached encoded transfers, shared by nodes that request the same one.
 const MAX_CACHED_TRANSFERS: usize = 4;
@@ -33,8 +33,8 @@
 
     /// Version and content hash.
     #[must_use]
-    pub const fn held(&self) -> Held {
-        Held { version: self.version, hash: self.hash }
+    pub const fn held(&self) -> ConfigurationId {
+        ConfigurationId { version: self.version, hash: self.hash }
     }
 }
 
@@ -50,7 +50,7 @@
 /// A cached transfer that several nodes may request.
 #[derive(Debug)]
 struct CachedTransfer {
-    held: Option<Held>,
+    held: Option<ConfigurationId>,
     encoded: Arc<[u8]>,
 }
 
@@ -84,7 +84,7 @@
 
     /// The transfer that brings a node holding `held` up to date.
     #[must_use]
-    pub fn transfer_for(&self, held: Option<Held>) -> Transfer {
+    pub fn transfer_for(&self, held: Option<ConfigurationId>) -> Transfer {
         let Some(newest) = &self.newest else { return Transfer::UpToDate };
         if held.is_some_and(|held| held.version >= newest.version) {
             return Transfer::UpToDate;
@@ -102,7 +102,7 @@
 
     /// Encoded transfer that brings a node holding `held` up to date. Many nodes request the same transfer
     /// after a change, so the encoding is cached.
-    pub fn encoded_transfer_for(&mut self, held: Option<Held>) -> Arc<[u8]> {
+    pub fn encoded_transfer_for(&mut self, held: Option<ConfigurationId>) -> Arc<[u8]> {
         if let Some(cached) = self.cached.iter().find(|cached| cached.held == held) {
             return Arc::clone(&cached.encoded);
         }
--- a/crates/distribution/src/lib.rs
+++ b/crates/distribution/src/lib.rs
@@ -13,4 +13,4 @@
 pub use history::{ConfigurationHistory, VersionedConfiguration};
 pub use newer_peers::NewerPeers;
 pub use readers::{ReaderContext, ReaderRole, ReaderSettings, reader_role};
-pub use transfer::{Held, Transfer, TransferError};
+pub use transfer::{ConfigurationId, Transfer, TransferError};
--- a/crates/distribution/src/transfer.rs
+++ b/crates/distribution/src/transfer.rs
@@ -17,7 +17,7 @@
 
 /// Identifies a configuration by version and content hash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
-pub struct Held {
+pub struct ConfigurationId {
     /// Version of the configuration.
     pub version: Version,
     /// Hash of its content.
@@ -32,16 +32,16 @@
     /// A delta from a configuration that the receiver holds.
     Delta {
         /// The configuration that the delta applies to.
-        from: Held,
+        from: ConfigurationId,
         /// The configuration that the delta produces.
-        to: Held,
+        to: ConfigurationId,
         /// The encoded delta.
         delta: Vec<u8>,
     },
     /// A complete configuration.
     Full {
         /// Identifier of the configuration.
-        to: Held,
+        to: ConfigurationId,
         /// The encoded content.
         content: Vec<u8>,
     },
--- a/crates/membership/src/digest.rs
+++ b/crates/membership/src/digest.rs
@@ -102,7 +102,7 @@
 
 /// Hash of a record version, combined into the digest of its bucket.
 pub(crate) const fn contribution_of(order: &RecordOrder) -> u64 {
-    mix(mix(order.life ^ order.incarnation.0.rotate_left(32)).wrapping_add(order.sequence))
+    mix(mix(order.process_id ^ order.incarnation.0.rotate_left(32)).wrapping_add(order.sequence))
 }
 
 /// Mixes the bits of `value` (`SplitMix64`).
--- a/crates/membership/src/heartbeat.rs
+++ b/crates/membership/src/heartbeat.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Echo {
     /// Process that sent the heartbeat.
-    pub life: u64,
+    pub process_id: u64,
     /// Number of the heartbeat.
     pub number: u64,
 }
@@ -56,7 +56,7 @@
     /// Number of the heartbeat, counted per sending process and receiver.
     pub number: u64,
     /// The sender's own record.
-    pub word: SenderRecord,
+    pub sender: SenderRecord,
     /// The last heartbeat received from the receiver; absent if the sender's process has received none.
     pub echo: Option<Echo>,
     /// Version of the receiver's record that the sender holds.
@@ -120,7 +120,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum SuspectMessage {
     /// Findings, forwarded from node to node.
-    Told(Vec<SuspectRecord>),
+    Records(Vec<SuspectRecord>),
     /// Digest of the findings that all nodes should hold, for comparison.
     Digest(u64),
     /// Findings that the receiver may lack; it does not forward them.
--- a/crates/membership/src/member.rs
+++ b/crates/membership/src/member.rs
@@ -142,7 +142,7 @@
     /// Replaces the record with a newer version, which clears the accusations. State that belongs to an
     /// earlier process of the node is dropped.
     pub(crate) fn replace_record(&mut self, now: Instant, record: MemberRecord) {
-        if record.life != self.record.life {
+        if record.process_id != self.record.process_id {
             *self = Self { sent: self.sent, contribution: self.contribution, ..Self::new(now, record) };
             return;
         }
@@ -173,15 +173,16 @@
         self.is_retired || self.record.phase == MemberPhase::Left
     }
 
-    /// Handles a heartbeat from the process that the record describes. `own_life` is the ID of this node's
+    /// Handles a heartbeat from the process that the record describes. `own_process_id` is the ID of this node's
     /// process.
-    pub(crate) fn on_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat, own_life: u64) {
+    pub(crate) fn on_heartbeat(&mut self, now: Instant, heartbeat: &Heartbeat, own_process_id: u64) {
         let is_late =
             self.last_received.is_some_and(|last_received| last_received.number >= heartbeat.number);
         if is_late {
             return;
         }
-        self.last_received = Some(Echo { life: heartbeat.word.order().life, number: heartbeat.number });
+        self.last_received =
+            Some(Echo { process_id: heartbeat.sender.order().process_id, number: heartbeat.number });
         self.last_seen_at = Some(now);
         self.known_since = now;
         self.load = heartbeat.load;
@@ -194,7 +195,7 @@
                 Some(Watcher { interval, until: now + interval * WATCHER_TIMEOUT_INTERVALS })
             }
         };
-        if let Some(echo) = heartbeat.echo.filter(|echo| echo.life == own_life) {
+        if let Some(echo) = heartbeat.echo.filter(|echo| echo.process_id == own_process_id) {
             self.on_echo(echo.number);
         }
     }
--- a/crates/membership/src/membership.rs
+++ b/crates/membership/src/membership.rs
@@ -90,7 +90,7 @@
         let mut membership = Self {
             settings,
             own_rank: rank_of(&own.node),
-            random: SmallRng::seed_from_u64(own.life),
+            random: SmallRng::seed_from_u64(own.process_id),
             own,
             load: LoadReport::default(),
             version: None,
@@ -153,7 +153,7 @@
     }
 
     fn member_of(&self, order: RecordOrder) -> Option<&Member> {
-        let member = self.members.get(self.nodes_by_process.get(&order.life)?)?;
+        let member = self.members.get(self.nodes_by_process.get(&order.process_id)?)?;
         (member.record.order() == order).then_some(member)
     }
 
@@ -367,7 +367,7 @@
         let watch = member.watch();
         let heartbeat = Heartbeat {
             number: member.next_number(now),
-            word: member.record_for(&self.own, member.is_neighbour(now)),
+            sender: member.record_for(&self.own, member.is_neighbour(now)),
             echo: member.echo(),
             held: Some(member.record.order()),
             load: self.load,
@@ -386,7 +386,7 @@
     fn introductory_heartbeat(&mut self, now: Instant, to: SocketAddr, wants_records: bool) -> Outgoing {
         let heartbeat = Heartbeat {
             number: 0,
-            word: crate::heartbeat::SenderRecord::Full(Box::new(self.own.clone())),
+            sender: crate::heartbeat::SenderRecord::Full(Box::new(self.own.clone())),
             echo: None,
             held: None,
             load: self.load,
--- a/crates/membership/src/membership/receive.rs
+++ b/crates/membership/src/membership/receive.rs
@@ -43,7 +43,7 @@
     /// Handles a heartbeat received from the address `from`.
     pub fn on_heartbeat(&mut self, now: Instant, from: SocketAddr, heartbeat: &Heartbeat) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        let node = match &heartbeat.word {
+        let node = match &heartbeat.sender {
             SenderRecord::Full(record) if record.node == self.own.node => {
                 return self.on_record_with_own_name(now, record);
             }
@@ -75,16 +75,16 @@
         heartbeat: &Heartbeat,
     ) -> Vec<Outgoing> {
         let mut outgoing = Vec::new();
-        let own_life = self.own.life;
+        let own_process_id = self.own.process_id;
         let Some(member) = self.members.get_mut(node) else { return outgoing };
-        if member.record.life != heartbeat.word.order().life {
+        if member.record.process_id != heartbeat.sender.order().process_id {
             // Sent by an earlier process, or by a new one that does not know yet that there was an earlier
             // one.
             member.forget_acknowledged_order();
             outgoing.extend(self.heartbeat_to(now, node, Some(from), false));
             return outgoing;
         }
-        member.on_heartbeat(now, heartbeat, own_life);
+        member.on_heartbeat(now, heartbeat, own_process_id);
         member.clear_own_accusation();
         let is_excluded = member.is_excluded();
         if member.is_neighbour(now) {
@@ -143,7 +143,7 @@
     /// process, which is ignored, or a concurrent process of the same node, above whose start count this one
     /// rises.
     fn on_record_with_own_name(&mut self, now: Instant, record: &MemberRecord) -> Vec<Outgoing> {
-        if record.life == self.own.life || record.incarnation < self.own.incarnation {
+        if record.process_id == self.own.process_id || record.incarnation < self.own.incarnation {
             return Vec::new();
         }
         self.raise_incarnation(record.incarnation);
@@ -153,7 +153,7 @@
     /// If the sender holds a record of an earlier process of this node, takes a higher start count.
     fn supersede_earlier_process(&mut self, now: Instant, heartbeat: &Heartbeat) -> Vec<Outgoing> {
         let Some(held) = heartbeat.held else { return Vec::new() };
-        if held.life == self.own.life || held.incarnation < self.own.incarnation {
+        if held.process_id == self.own.process_id || held.incarnation < self.own.incarnation {
             return Vec::new();
         }
         self.raise_incarnation(held.incarnation);
@@ -162,7 +162,7 @@
 
     pub(super) fn on_record(&mut self, now: Instant, record: &MemberRecord) {
         if record.node == self.own.node {
-            if record.life != self.own.life && record.incarnation >= self.own.incarnation {
+            if record.process_id != self.own.process_id && record.incarnation >= self.own.incarnation {
                 self.raise_incarnation(record.incarnation);
                 self.pending.add_own();
             }
@@ -180,12 +180,13 @@
         let before = member.record.clone();
         member.replace_record(now, record.clone());
         let is_excluded = member.is_excluded();
-        if before.life != record.life {
-            self.nodes_by_process.remove(&before.life);
-            self.nodes_by_process.insert(record.life, record.node.clone());
+        if before.process_id != record.process_id {
+            self.nodes_by_process.remove(&before.process_id);
+            self.nodes_by_process.insert(record.process_id, record.node.clone());
         }
-        self.are_zones_stale |=
-            was_out != is_excluded || before.life != record.life || before.locality != record.locality;
+        self.are_zones_stale |= was_out != is_excluded
+            || before.process_id != record.process_id
+            || before.locality != record.locality;
         self.accused.remove(&record.node);
         self.refresh_member(now, &record.node);
         let is_closed = took_requests && !takes_requests(record);
@@ -199,7 +200,7 @@
         }
         self.joining.on_known(&record.node);
         self.retire_address(now, record);
-        self.nodes_by_process.insert(record.life, record.node.clone());
+        self.nodes_by_process.insert(record.process_id, record.node.clone());
         self.members.insert(record.node.clone(), Member::new(now, record.clone()));
         self.are_zones_stale = true;
         self.refresh_member(now, &record.node);
@@ -242,7 +243,7 @@
     }
 
     pub(super) fn on_accusation(&mut self, now: Instant, accusation: Accusation) -> Vec<Outgoing> {
-        if accusation.against.life == self.own.life {
+        if accusation.against.process_id == self.own.process_id {
             return self.on_own_accusation(now, accusation);
         }
         let Some(node) = self.member_of(accusation.against).map(|member| member.record.node.clone()) else {
@@ -326,7 +327,7 @@
         let mut accusations = Vec::new();
         // Records of nodes that have left or are excluded here, which the other node still counts as members.
         for order in &theirs.orders {
-            let node = self.nodes_by_process.get(&order.life);
+            let node = self.nodes_by_process.get(&order.process_id);
             let Some(member) = node.and_then(|node| self.members.get(node)) else { continue };
             if member.record.phase == MemberPhase::Left {
                 missing.push(member.record.clone());
--- a/crates/membership/src/membership/tick.rs
+++ b/crates/membership/src/membership/tick.rs
@@ -194,7 +194,7 @@
         for node in silent {
             let Some(member) = self.members.get_mut(&node) else { continue };
             member.on_own_accusation_sent(now);
-            let accusation = member.accusation(self.own.life);
+            let accusation = member.accusation(self.own.process_id);
             let silent_for = now.saturating_duration_since(member.known_since);
             self.record_event(MembershipEvent::NeighbourSilent { node, silent_for });
             // The accusation never concerns this node itself, so there is nothing to send.
@@ -264,13 +264,13 @@
         };
         let old = self.members.iter().filter(|(_, member)| is_old(member));
         let nodes: Vec<(NodeName, u64)> =
-            old.map(|(node, member)| (node.clone(), member.record.life)).collect();
-        for (node, life) in nodes {
+            old.map(|(node, member)| (node.clone(), member.record.process_id)).collect();
+        for (node, process_id) in nodes {
             // Remove its hash from the bucket's digest.
             if let Some(member) = self.members.remove(&node) {
                 self.digests.replace(bucket_of(member.rank), member.contribution, 0);
             }
-            self.nodes_by_process.remove(&life);
+            self.nodes_by_process.remove(&process_id);
             self.active.remove(&node);
             self.accused.remove(&node);
             self.are_zones_stale = true;
--- a/crates/membership/src/record.rs
+++ b/crates/membership/src/record.rs
@@ -53,7 +53,7 @@
     pub node: NodeName,
     /// Random ID of the process, by which a node distinguishes its own record from that of an earlier
     /// process.
-    pub life: u64,
+    pub process_id: u64,
     /// Start count: higher than that of every earlier process of the node that any other node remembers.
     pub incarnation: Incarnation,
     /// Number of changes in this incarnation.
@@ -80,7 +80,7 @@
     /// Start count of the process.
     pub incarnation: Incarnation,
     /// Breaks the tie between two processes that took the same start count.
-    pub life: u64,
+    pub process_id: u64,
     /// Number of changes.
     pub sequence: u64,
 }
@@ -89,7 +89,7 @@
     /// Version of the record, which orders it among all records of the node.
     #[must_use]
     pub const fn order(&self) -> RecordOrder {
-        RecordOrder { incarnation: self.incarnation, life: self.life, sequence: self.sequence }
+        RecordOrder { incarnation: self.incarnation, process_id: self.process_id, sequence: self.sequence }
     }
 }
 
--- a/crates/membership/tests/membership.rs
+++ b/crates/membership/tests/membership.rs
@@ -133,12 +133,12 @@
 
 #[test]
 fn a_restarted_process_without_entries_rejoins_for_any_process_id() {
-    for (seed, life) in [(20, 0), (21, u64::MAX)] {
+    for (seed, process_id) in [(20, 0), (21, u64::MAX)] {
         let mut cluster = Cluster::joined(seed, 3);
         cluster.run_millis(1_000);
         cluster.kill(1);
         cluster.run_millis(1_000);
-        cluster.start_with_process_id(1, life);
+        cluster.start_with_process_id(1, process_id);
         cluster.update_node(1, |membership, now| {
             membership.set_back_end(now, Some(back_end("n", BackEndState::Ready)))
         });
@@ -168,7 +168,7 @@
     for from in [0, 2, 3] {
         let announced = cluster.view(from, 1).unwrap().record;
         assert_eq!(announced.back_end.unwrap().instance, "new");
-        assert_eq!(announced.life, cluster.nodes[&1].own().life);
+        assert_eq!(announced.process_id, cluster.nodes[&1].own().process_id);
     }
 }
 
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -43,10 +43,10 @@
     Locality { region: name("north"), zone: name(&format!("zone-{}", number % zones)) }
 }
 
-fn record(name_number: usize, number: usize, life: u64, zones: usize) -> MemberRecord {
+fn record(name_number: usize, number: usize, process_id: u64, zones: usize) -> MemberRecord {
     MemberRecord {
         node: node(name_number),
-        life,
+        process_id,
         incarnation: Incarnation(1),
         sequence: 0,
         control: address(number),
@@ -159,13 +159,13 @@
         self.start_with(name_number, number, self.process_count);
     }
 
-    /// Starts a process with the random ID `life`.
-    pub fn start_with_process_id(&mut self, number: usize, life: u64) {
-        self.start_with(number, number, life);
+    /// Starts a process with the random ID `process_id`.
+    pub fn start_with_process_id(&mut self, number: usize, process_id: u64) {
+        self.start_with(number, number, process_id);
     }
 
-    fn start_with(&mut self, name_number: usize, number: usize, life: u64) {
-        let record = record(name_number, number, life, self.zones);
+    fn start_with(&mut self, name_number: usize, number: usize, process_id: u64) {
+        let record = record(name_number, number, process_id, self.zones);
         self.nodes.insert(number, Membership::new(MembershipSettings::default(), record));
     }
 
