--- a/crates/daemon/src/directory.rs
+++ b/crates/daemon/src/directory.rs
@@ -41,7 +41,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Listing {
     /// The entries, some of which may belong to nodes that no longer exist.
-    pub introductions: Vec<DirectoryEntry>,
+    pub entries: Vec<DirectoryEntry>,
     /// Whether entries written before the call may be missing.
     pub may_be_stale: bool,
 }
@@ -123,13 +123,13 @@
             *entry = OwnEntry::Written;
         }
         let listing = self.count_call("list", self.directory.list().await)?;
-        let has_own = listing.introductions.contains(&self.own);
+        let has_own = listing.entries.contains(&self.own);
         if *entry == OwnEntry::Unknown && !has_own {
             *entry = OwnEntry::Missing;
         }
-        let nodes = listing.introductions.len() as u64;
+        let nodes = listing.entries.len() as u64;
         self.telemetry.emit(Event::DirectoryRead { nodes });
-        let _ = self.membership.send_message(MembershipMessage::DirectoryEntries(listing.introductions));
+        let _ = self.membership.send_message(MembershipMessage::DirectoryEntries(listing.entries));
         Ok(*entry != OwnEntry::Missing && (has_own || !listing.may_be_stale))
     }
 
--- a/crates/daemon/src/directory/tests.rs
+++ b/crates/daemon/src/directory/tests.rs
@@ -55,8 +55,8 @@
         self.listed.fetch_add(1, Ordering::Relaxed);
         let stale =
             self.stale_reads.fetch_update(Ordering::Relaxed, Ordering::Relaxed, |left| left.checked_sub(1));
-        let introductions = if stale.is_ok() { Vec::new() } else { self.entries.lock().clone() };
-        Ok(Listing { introductions, may_be_stale: true })
+        let entries = if stale.is_ok() { Vec::new() } else { self.entries.lock().clone() };
+        Ok(Listing { entries, may_be_stale: true })
     }
 
     async fn withdraw(&self, _introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
--- a/crates/daemon/src/http_server.rs
+++ b/crates/daemon/src/http_server.rs
@@ -28,7 +28,7 @@
 
 /// A request to the daemon.
 #[derive(Debug, Clone)]
-pub struct HttpQuestion {
+pub struct HttpRequest {
     /// Method.
     pub method: Method,
     /// Path without the query.
@@ -41,7 +41,7 @@
 
 /// A response of the daemon.
 #[derive(Debug, Clone)]
-pub struct HttpAnswer {
+pub struct HttpResponse {
     /// Status.
     pub status: StatusCode,
     /// Media type of the body.
@@ -52,7 +52,7 @@
     pub retry_after_seconds: Option<u64>,
 }
 
-impl HttpAnswer {
+impl HttpResponse {
     /// Creates a plain text response.
     #[must_use]
     pub fn text(status: StatusCode, body: impl Into<Bytes>) -> Self {
@@ -75,7 +75,7 @@
 #[async_trait]
 pub trait HttpHandler: Send + Sync + 'static {
     /// Handles one request.
-    async fn answer(&self, request: HttpQuestion) -> HttpAnswer;
+    async fn handle(&self, request: HttpRequest) -> HttpResponse;
 }
 
 /// A shared handler.
@@ -119,16 +119,16 @@
     let (head, body) = request.into_parts();
     let answer = match Limited::new(body, body_bytes).collect().await {
         Ok(body) => {
-            let request = HttpQuestion {
+            let request = HttpRequest {
                 method: head.method,
                 path: head.uri.path().to_owned(),
                 query: head.uri.query().map(str::to_owned),
                 body: body.to_bytes(),
             };
-            handler.answer(request).await
+            handler.handle(request).await
         }
         // Either the body is too long or reading it failed.
-        Err(_error) => HttpAnswer::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
+        Err(_error) => HttpResponse::text(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long\n"),
     };
     let mut response = Response::new(Full::new(answer.body));
     *response.status_mut() = answer.status;
--- a/crates/daemon/src/lib.rs
+++ b/crates/daemon/src/lib.rs
@@ -27,7 +27,7 @@
 pub use directory::{DirectoryError, Listing, MemberDirectory};
 pub use environment::Environment;
 pub use error::StartError;
-pub use http_server::{BoxHandler, HttpAnswer, HttpHandler, HttpQuestion, ORDINARY_BODY_BYTES, serve_http};
+pub use http_server::{BoxHandler, HttpHandler, HttpRequest, HttpResponse, ORDINARY_BODY_BYTES, serve_http};
 pub use listeners::listen;
 pub use readiness::Unready;
 pub use settings::NodeConfig;
--- a/crates/membership/tests/support/mod.rs
+++ b/crates/membership/tests/support/mod.rs
@@ -174,13 +174,13 @@
     }
 
     pub fn add_directory_entries(&mut self, number: usize, others: impl IntoIterator<Item = usize>) {
-        let introductions = others.into_iter().map(|other| DirectoryEntry {
+        let entries = others.into_iter().map(|other| DirectoryEntry {
             node: node(other),
             control: address(other),
             locality: Some(locality(other, self.zones)),
         });
         let now = self.now;
-        self.nodes.get_mut(&number).unwrap().on_directory_entries(now, introductions.collect());
+        self.nodes.get_mut(&number).unwrap().on_directory_entries(now, entries.collect());
     }
 
     /// Calls `action` on the membership of a node and sends the resulting datagrams.
--- a/crates/operator/src/admin/answer.rs
+++ b/crates/operator/src/admin/answer.rs
@@ -2,21 +2,21 @@
 
 use http::StatusCode;
 use serde::Serialize;
-use umberpond_daemon::HttpAnswer;
+use umberpond_daemon::HttpResponse;
 
 use super::api::Refusal;
 
 /// An answer to an operator.
-pub(super) struct Answer(HttpAnswer);
+pub(super) struct Answer(HttpResponse);
 
 impl Answer {
     pub(super) fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Self {
-        Self(HttpAnswer::text(status, text))
+        Self(HttpResponse::text(status, text))
     }
 
     pub(super) fn json(status: StatusCode, body: &impl Serialize) -> Self {
         match serde_json::to_vec(body) {
-            Ok(body) => Self(HttpAnswer::json(status, body)),
+            Ok(body) => Self(HttpResponse::json(status, body)),
             Err(error) => Self::text(StatusCode::INTERNAL_SERVER_ERROR, format!("{error}\n")),
         }
     }
@@ -34,7 +34,7 @@
         self.0.status
     }
 
-    pub(super) fn into_http(self) -> HttpAnswer {
+    pub(super) fn into_http(self) -> HttpResponse {
         self.0
     }
 }
--- a/crates/operator/src/admin/handler.rs
+++ b/crates/operator/src/admin/handler.rs
@@ -5,7 +5,7 @@
 use async_trait::async_trait;
 use http::{Method, StatusCode};
 use umberpond_acceptance::{Acceptor, AcceptorContext, AcceptorSettings};
-use umberpond_daemon::{HttpAnswer, HttpHandler, HttpQuestion, RunningDaemon};
+use umberpond_daemon::{HttpHandler, HttpRequest, HttpResponse, RunningDaemon};
 use umberpond_model::{BundleName, SubmissionId, Version};
 use umberpond_store::ObjectStore;
 use umberpond_telemetry::Event;
@@ -38,7 +38,7 @@
         Self { shared: AdminShared { daemon, store, acceptor } }
     }
 
-    async fn route(&self, question: &HttpQuestion) -> Answer {
+    async fn route(&self, question: &HttpRequest) -> Answer {
         let parts: Vec<&str> = question.path.trim_matches('/').split('/').collect();
         match (&question.method, parts.as_slice()) {
             (&Method::GET, ["livez"]) => Answer::text(StatusCode::OK, "live\n"),
@@ -84,7 +84,7 @@
     }
 
     /// Submits the bundle in the body, or withdraws the bundle.
-    async fn submit(&self, question: &HttpQuestion, name: &str, is_submitted: bool) -> Answer {
+    async fn submit(&self, question: &HttpRequest, name: &str, is_submitted: bool) -> Answer {
         let bundle = match BundleName::new(name) {
             Ok(bundle) => bundle,
             Err(invalid) => return Answer::refusal(StatusCode::BAD_REQUEST, invalid.to_string()),
@@ -99,7 +99,7 @@
 
 #[async_trait]
 impl HttpHandler for AdminHandler {
-    async fn answer(&self, question: HttpQuestion) -> HttpAnswer {
+    async fn handle(&self, question: HttpRequest) -> HttpResponse {
         let answer = self.route(&question).await;
         let status = answer.status();
         if status.is_client_error() {
@@ -113,7 +113,7 @@
 
 const NOT_AN_ID: &str = "a submission is named by up to 32 hex digits, as in `?submission=…`";
 
-fn submission_id(question: &HttpQuestion) -> Option<SubmissionId> {
+fn submission_id(question: &HttpRequest) -> Option<SubmissionId> {
     let query = question.query.as_deref()?;
     let value = query.split('&').find_map(|pair| pair.strip_prefix("submission="))?;
     value.parse().ok()
--- a/crates/operator/src/directory.rs
+++ b/crates/operator/src/directory.rs
@@ -55,13 +55,13 @@
             .map(|name| async move { self.store.get(ObjectKind::Nodes, &name).await })
             .buffered(CONCURRENT_READS);
         let objects: Vec<_> = read.collect().await;
-        let mut introductions = Vec::with_capacity(objects.len());
+        let mut entries = Vec::with_capacity(objects.len());
         for object in objects {
             // An entry that has gone or can't be read is passed over.
             let value = object.map_err(failed)?.map(|object| object.value);
-            introductions.extend(value.and_then(|value| serde_json::from_slice(&value).ok()));
+            entries.extend(value.and_then(|value| serde_json::from_slice(&value).ok()));
         }
-        Ok(Listing { introductions, may_be_stale: false })
+        Ok(Listing { entries, may_be_stale: false })
     }
 
     async fn withdraw(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
