--- a/crates/forwarding/tests/bodies.rs
+++ b/crates/forwarding/tests/bodies.rs
@@ -4,7 +4,7 @@
 
 use support::back_end::{ScriptedResponse, ok};
 use support::caller::get;
-use support::{World, host, pause};
+use support::{TestCluster, host, pause};
 use tokio::time::Instant;
 use umberpond_forwarding::BackEnd;
 
@@ -24,7 +24,7 @@
 }
 
 /// Sets the number of slots of the first node's back end.
-fn set_slots(world: &World, slots: u32) {
+fn set_slots(world: &TestCluster, slots: u32) {
     let served = &world.served[0];
     served.inbound.open(BackEnd {
         process: umberpond_model::BackEndProcess::of(&served.endpoint.instance),
@@ -37,7 +37,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn long_body_is_sent_to_another_back_end_after_a_rejection() {
-    let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     world.served[0].inbound.close();
     let long = incompressible(360_000);
     for number in 0..6 {
@@ -47,14 +47,14 @@
         let response = caller.read().await.unwrap();
         assert_eq!((response.status, response.text()), (200, "b"));
     }
-    let seen = world.served[1].back_end.seen();
-    assert_eq!(seen.len(), 6);
-    assert!(seen.iter().all(|seen| seen.body == long));
+    let received = world.served[1].back_end.received();
+    assert_eq!(received.len(), 6);
+    assert!(received.iter().all(|received| received.body == long));
 }
 
 #[tokio::test(start_paused = true)]
 async fn body_of_a_rejected_request_is_not_sent_over_the_link() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     world.served[0].inbound.close();
     for number in 0..6 {
         let mut caller = world.caller().await;
@@ -68,7 +68,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn rejection_of_a_long_body_closes_the_connection_after_the_response() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     world.served[0].inbound.close();
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", 200_000)).await;
@@ -80,7 +80,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn small_requests_are_not_blocked_by_long_bodies_on_a_slow_link() {
-    let world = World::with_link(vec![vec![ok("a")]], SLOW_LINK).await;
+    let world = TestCluster::with_link(vec![vec![ok("a")]], SLOW_LINK).await;
     set_slots(&world, 12);
     // Lets the node measure the service time of the back end.
     for number in 0..3 {
@@ -112,8 +112,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn body_that_would_arrive_too_late_is_rejected_before_the_transfer() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 50 };
-    let world = World::with_link(vec![vec![slow]], SLOW_LINK).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "a", after: 50 };
+    let world = TestCluster::with_link(vec![vec![slow]], SLOW_LINK).await;
     set_slots(&world, 64);
     world.network.limit_bandwidth(host(CALLERS), 1_250_000);
     let mut uploads = Vec::new();
@@ -146,7 +146,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn body_truncated_by_the_caller_ends_the_back_end_connection() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", 360_000)).await;
     caller.write(vec![b'x'; 100_000]).await;
@@ -155,13 +155,13 @@
     pause(500).await;
     assert_eq!(world.arrivals(), 0, "the back end has received no complete request");
     assert_eq!(world.caller().await.ask("/read/a", "r2").await.status, 200);
-    let seen = world.served[0].back_end.seen();
-    assert_eq!((seen.len(), seen[0].connection), (1, 2), "the next request uses another connection");
+    let received = world.served[0].back_end.received();
+    assert_eq!((received.len(), received[0].connection), (1, 2), "the next request uses another connection");
 }
 
 #[tokio::test(start_paused = true)]
 async fn body_interrupted_by_a_node_crash_has_an_unknown_outcome() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", 360_000)).await;
     caller.write(vec![b'x'; 100_000]).await;
@@ -173,7 +173,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn long_chunked_body_arrives_complete() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
     caller.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n")).await;
@@ -182,17 +182,17 @@
     }
     caller.write("0\r\n\r\n").await;
     assert_eq!(caller.read().await.unwrap().status, 200);
-    assert_eq!(world.served[0].back_end.seen()[0].body, vec![b'y'; 360_000]);
+    assert_eq!(world.served[0].back_end.received()[0].body, vec![b'y'; 360_000]);
 }
 
 #[tokio::test(start_paused = true)]
 async fn late_response_to_an_earlier_request_is_not_taken_for_that_of_a_long_body() {
-    let first = ScriptedResponse::Slowly {
+    let first = ScriptedResponse::InTwoParts {
         first: "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 3\r\n\r\none",
         second: "HTTP/1.1 200 OK\r\numberpond-request: r1\r\nx-proof: p\r\nContent-Length: 4\r\n\r\nlate",
         after: 30,
     };
-    let world = World::with_routes(vec![vec![first, ok("own")]]).await;
+    let world = TestCluster::with_routes(vec![vec![first, ok("own")]]).await;
     assert_eq!(world.caller().await.ask("/read/a", "r1").await.text(), "one");
     let mut caller = world.caller().await;
     caller.write(upload_head("r2", 200_000)).await;
@@ -203,7 +203,7 @@
 }
 
 /// Moves the first node to a zone other than that of the callers.
-fn move_to_other_zone(world: &mut World) {
+fn move_to_other_zone(world: &mut TestCluster) {
     world.served[0].endpoint.locality.zone = "b".parse().unwrap();
     world.publish_endpoints();
 }
@@ -211,14 +211,14 @@
 /// Traffic between zones is expensive, and under overload most requests sent there are rejected.
 #[tokio::test(start_paused = true)]
 async fn body_is_sent_to_another_zone_only_once_its_request_has_a_slot() {
-    let mut world = World::with_routes(vec![vec![ok("a")]]).await;
+    let mut world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     move_to_other_zone(&mut world);
     let body = incompressible(6_000);
     let mut caller = world.caller().await;
     caller.write(upload_head("r1", body.len())).await;
     caller.write(&body).await;
     assert_eq!(caller.read().await.unwrap().status, 200);
-    assert_eq!(world.served[0].back_end.seen()[0].body, body);
+    assert_eq!(world.served[0].back_end.received()[0].body, body);
     let before = world.network.bytes_sent(host(CALLERS), host(10));
     world.served[0].inbound.close();
     for number in 0..4 {
@@ -234,7 +234,7 @@
 /// The body can be sent again, unlike that of a caller that is still sending.
 #[tokio::test(start_paused = true)]
 async fn request_rejected_in_another_zone_is_retried_elsewhere_with_its_whole_body() {
-    let mut world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
+    let mut world = TestCluster::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     move_to_other_zone(&mut world);
     world.served[0].inbound.close();
     let body = incompressible(6_000);
@@ -244,5 +244,5 @@
         caller.write(&body).await;
         assert_eq!(caller.read().await.unwrap().text(), "b");
     }
-    assert!(world.served[1].back_end.seen().iter().all(|seen| seen.body == body));
+    assert!(world.served[1].back_end.received().iter().all(|received| received.body == body));
 }
--- a/crates/forwarding/tests/calls.rs
+++ b/crates/forwarding/tests/calls.rs
@@ -4,13 +4,13 @@
 
 use std::time::Duration;
 
-use support::chain::{Called, Chain, Outcome};
+use support::chain::{CallChain, CalledBackEnd, Outcome};
 use umberpond_telemetry::Event;
 
 /// Handles 16 calls per second.
-const OVERLOADED_SERVICE: Called = Called { host: 30, slots: 1, work: 60 };
+const OVERLOADED_SERVICE: CalledBackEnd = CalledBackEnd { host: 30, slots: 1, work: 60 };
 /// Handles 800 calls per second.
-const FAST_SERVICE: Called = Called { host: 31, slots: 8, work: 10 };
+const FAST_SERVICE: CalledBackEnd = CalledBackEnd { host: 31, slots: 8, work: 10 };
 /// Requests of callers per second, slightly more than the calling service alone can handle.
 const REQUESTS_PER_SECOND: u32 = 100;
 /// Timeout of the called route, in milliseconds.
@@ -25,7 +25,7 @@
 /// leaves open whether the request ran.
 #[tokio::test(start_paused = true)]
 async fn runs_whose_calls_would_be_refused_do_not_start() {
-    let chain = Chain::start(OVERLOADED_SERVICE, CALL_TIMEOUT_MILLIS).await;
+    let chain = CallChain::start(OVERLOADED_SERVICE, CALL_TIMEOUT_MILLIS).await;
     chain.send("w", REQUESTS_PER_SECOND, Duration::from_secs(3)).await;
     let outcomes = chain.send("r", REQUESTS_PER_SECOND, Duration::from_secs(3)).await;
     let refused: Vec<&Outcome> =
@@ -46,7 +46,7 @@
 /// The node in front of the overloaded service stops under load, and another one replaces it.
 #[tokio::test(start_paused = true)]
 async fn runs_are_admitted_within_five_seconds_after_the_called_node_is_replaced() {
-    let chain = Chain::start(OVERLOADED_SERVICE, CALL_TIMEOUT_MILLIS).await;
+    let chain = CallChain::start(OVERLOADED_SERVICE, CALL_TIMEOUT_MILLIS).await;
     chain.send("w", REQUESTS_PER_SECOND, Duration::from_secs(3)).await;
     chain.network.kill(support::host(OVERLOADED_SERVICE.host));
     chain.replace_called_back_end(FAST_SERVICE).await;
@@ -60,7 +60,7 @@
 /// Without requests there are no outcomes of calls to the called service either.
 #[tokio::test(start_paused = true)]
 async fn no_run_is_refused_without_call_outcomes_for_five_seconds() {
-    let chain = Chain::start(OVERLOADED_SERVICE, CALL_TIMEOUT_MILLIS).await;
+    let chain = CallChain::start(OVERLOADED_SERVICE, CALL_TIMEOUT_MILLIS).await;
     chain.send("w", REQUESTS_PER_SECOND, Duration::from_secs(3)).await;
     tokio::time::sleep(Duration::from_secs(5)).await;
     let outcomes = chain.send("r", REQUESTS_PER_SECOND, Duration::from_millis(100)).await;
@@ -70,7 +70,7 @@
 /// A response after the deadline of the run is useless, and the slot of the run is reassigned.
 #[tokio::test(start_paused = true)]
 async fn call_deadline_does_not_exceed_that_of_its_run() {
-    let chain = Chain::start(FAST_SERVICE, 60_000).await;
+    let chain = CallChain::start(FAST_SERVICE, 60_000).await;
     chain.send("r", 10, Duration::from_secs(1)).await;
     let calls = chain.calls();
     assert_eq!(calls.len(), 10);
--- a/crates/forwarding/tests/leaving.rs
+++ b/crates/forwarding/tests/leaving.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use support::back_end::{ScriptedResponse, ok};
-use support::{SLOTS, World, name, pause};
+use support::{SLOTS, TestCluster, name, pause};
 use tokio::time::Instant;
 use umberpond_forwarding::{BackEnd, ServerPhase};
 use umberpond_model::BackEndProcess;
 
 #[tokio::test(start_paused = true)]
 async fn closed_back_end_gets_no_new_requests_and_finishes_running_ones() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 800 };
-    let world = World::with_routes(vec![vec![slow.clone()]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "finished", after: 800 };
+    let world = TestCluster::with_routes(vec![vec![slow.clone()]]).await;
     let mut tasks = Vec::new();
     for number in 0..4 {
         let mut caller = world.caller().await;
@@ -34,13 +34,13 @@
 
 #[tokio::test(start_paused = true)]
 async fn requests_waiting_for_a_closed_back_end_are_sent_to_another() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 100 };
-    let world = World::with_routes(vec![vec![slow.clone()], vec![slow]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "a", after: 100 };
+    let world = TestCluster::with_routes(vec![vec![slow.clone()], vec![slow]]).await;
     // Lets the nodes measure the service times of the back ends.
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/write/a", &format!("w{number}")).await.status, 200);
     }
-    let before = world.served[0].back_end.seen().len();
+    let before = world.served[0].back_end.received().len();
     let mut tasks = Vec::new();
     for number in 0..6 {
         let mut caller = world.caller().await;
@@ -51,12 +51,12 @@
     for task in tasks {
         assert_eq!(task.await.unwrap(), 200);
     }
-    assert_eq!(world.served[0].back_end.seen().len() - before, SLOTS as usize);
+    assert_eq!(world.served[0].back_end.received().len() - before, SLOTS as usize);
 }
 
 #[tokio::test(start_paused = true)]
 async fn request_is_not_sent_to_a_back_end_of_another_service() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let other = BackEnd {
         process: BackEndProcess::of("another"),
@@ -72,7 +72,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn unreachable_back_end_is_reported_to_its_node() {
-    let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     let unused_address = "10.0.0.10:999".parse().unwrap();
     let gone = BackEnd {
         process: BackEndProcess::of("life-10"),
@@ -91,7 +91,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn health_check_returns_the_instance_and_the_slots() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let address = "10.0.0.10:102".parse().unwrap();
     let health = world.served[0].inbound.probe_health(address, "/well").await.unwrap();
     assert_eq!((health.instance.as_deref(), health.slots), (Some("life-10"), Some(7)));
@@ -101,7 +101,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn draining_node_closes_each_connection_after_its_response() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let mut kept = world.caller().await;
     assert_eq!(kept.ask("/write/a", "r1").await.fields.text("connection"), None);
     world.control.start_drain(Instant::now() + Duration::from_secs(5));
@@ -113,8 +113,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn refusing_node_sends_retry_after_immediately_and_finishes_open_requests() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "finished", after: 900 };
-    let world = World::with_routes(vec![vec![slow]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "finished", after: 900 };
+    let world = TestCluster::with_routes(vec![vec![slow]]).await;
     let mut open = world.caller().await;
     open.send("/write/a", "r1").await;
     pause(50).await;
@@ -132,7 +132,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn every_request_gets_a_final_response_before_the_process_ends() {
-    let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
+    let world = TestCluster::with_routes(vec![vec![ScriptedResponse::NoResponse]]).await;
     let mut early = world.caller().await;
     early.send("/write/a", "r1").await;
     pause(50).await;
--- a/crates/forwarding/tests/outcomes.rs
+++ b/crates/forwarding/tests/outcomes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use support::back_end::{ScriptedResponse, ok};
-use support::{World, host, pause};
+use support::{TestCluster, host, pause};
 use tokio::time::Instant;
 use umberpond_selection::RetryBudgetSettings;
 
@@ -30,7 +30,7 @@
     );
     for path in ["/read/a", "/write/a"] {
         for refusal in [NOT_RUN, MISDIRECTED] {
-            let world = World::with_routes(vec![vec![refusal.clone()], vec![refusal]]).await;
+            let world = TestCluster::with_routes(vec![vec![refusal.clone()], vec![refusal]]).await;
             let response = world.caller().await.ask(path, "r1").await;
             assert_eq!(response.status, 503, "both back ends reported that they did not run it");
             assert!(response.fields.contains("retry-after"));
@@ -42,7 +42,8 @@
 #[tokio::test(start_paused = true)]
 async fn idempotent_request_with_a_lost_response_is_retried() {
     for trouble in [INVALID, TRUNCATED, UNSIGNED, ENCODED] {
-        let world = World::with_routes(vec![vec![trouble.clone(), ok("b")], vec![trouble, ok("b")]]).await;
+        let world =
+            TestCluster::with_routes(vec![vec![trouble.clone(), ok("b")], vec![trouble, ok("b")]]).await;
         let response = world.caller().await.ask("/read/a", "r1").await;
         // The first response of each back end is invalid, and two attempts are all that the route allows.
         assert_eq!(response.status, 502);
@@ -54,7 +55,7 @@
 #[tokio::test(start_paused = true)]
 async fn non_idempotent_request_with_a_lost_response_is_sent_once_and_its_outcome_is_unknown() {
     for trouble in [INVALID, TRUNCATED, UNSIGNED, ENCODED] {
-        let world = World::with_routes(vec![vec![trouble.clone()], vec![trouble]]).await;
+        let world = TestCluster::with_routes(vec![vec![trouble.clone()], vec![trouble]]).await;
         let response = world.caller().await.ask("/write/a", "r1").await;
         assert_eq!(response.status, 502);
         assert!(!response.fields.contains("retry-after"));
@@ -64,8 +65,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn failure_response_to_a_non_idempotent_request_is_forwarded() {
-    let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
-    let world = World::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
+    let failed = ScriptedResponse::Respond { status: 500, body: "sorry", after: 1 };
+    let world = TestCluster::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
     let response = world.caller().await.ask("/write/a", "r1").await;
     assert_eq!((response.status, response.text()), (500, "sorry"));
     assert!(response.fields.contains("x-proof"));
@@ -74,8 +75,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn failure_response_of_the_last_attempt_is_forwarded() {
-    let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
-    let world = World::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
+    let failed = ScriptedResponse::Respond { status: 500, body: "sorry", after: 1 };
+    let world = TestCluster::with_routes(vec![vec![failed.clone()], vec![failed]]).await;
     let response = world.caller().await.ask("/read/a", "r1").await;
     assert_eq!((response.status, response.text()), (500, "sorry"));
     assert_eq!(world.arrivals(), 2);
@@ -83,7 +84,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn silent_back_end_ends_in_the_timeout_of_the_route_with_unknown_outcome() {
-    let world = World::with_routes(vec![vec![ScriptedResponse::Silence]]).await;
+    let world = TestCluster::with_routes(vec![vec![ScriptedResponse::NoResponse]]).await;
     let began = Instant::now();
     let response = world.caller().await.ask("/write/a", "r1").await;
     assert_eq!(response.status, 504);
@@ -94,8 +95,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn request_that_timed_out_in_the_queue_is_reported_as_not_run() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_900 };
-    let world = World::with_routes(vec![vec![slow]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "a", after: 1_900 };
+    let world = TestCluster::with_routes(vec![vec![slow]]).await;
     let mut pending = Vec::new();
     for number in 0..3 {
         let mut caller = world.caller().await;
@@ -125,7 +126,7 @@
         "HTTP/1.1 200 OK\r\numberpond-request: r1\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst\
          HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 6\r\n\r\nsecond",
     );
-    let world = World::with_routes(vec![vec![FIRST, LATE]]).await;
+    let world = TestCluster::with_routes(vec![vec![FIRST, LATE]]).await;
     let mut caller = world.caller().await;
     assert_eq!(caller.ask("/write/a", "r1").await.text(), "first");
     assert_eq!(caller.ask("/write/a", "r2").await.text(), "second");
@@ -138,7 +139,7 @@
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 5\r\n\r\nfirst\
          and more of it",
     );
-    let world = World::with_routes(vec![vec![MORE, ok("second")]]).await;
+    let world = TestCluster::with_routes(vec![vec![MORE, ok("second")]]).await;
     let mut caller = world.caller().await;
     assert_eq!(caller.ask("/write/a", "r1").await.text(), "first");
     assert_eq!(caller.ask("/write/a", "r2").await.text(), "second");
@@ -150,13 +151,13 @@
     const UNFRAMED: ScriptedResponse = ScriptedResponse::RawThenClose(
         "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there is",
     );
-    let world = World::with_routes(vec![vec![UNFRAMED]]).await;
+    let world = TestCluster::with_routes(vec![vec![UNFRAMED]]).await;
     let response = world.caller().await.ask("/write/a", "r1").await;
     assert_eq!((response.status, response.text()), (200, "all there is"));
 
     const HELD: ScriptedResponse =
         ScriptedResponse::Raw("HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\n\r\nall there");
-    let world = World::with_routes(vec![vec![HELD]]).await;
+    let world = TestCluster::with_routes(vec![vec![HELD]]).await;
     let mut caller = world.caller().await;
     caller.send("/write/a", "r1").await;
     pause(100).await;
@@ -167,8 +168,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn early_response_is_forwarded_and_the_connection_is_not_reused() {
-    let early = ScriptedResponse::EarlyAnswer { status: 413, body: "too long for me" };
-    let world = World::with_routes(vec![vec![early, ok("next")]]).await;
+    let early = ScriptedResponse::RespondEarly { status: 413, body: "too long for me" };
+    let world = TestCluster::with_routes(vec![vec![early, ok("next")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
     caller.write(format!("{head}Content-Length: 500000\r\n\r\n")).await;
@@ -177,13 +178,17 @@
     assert_eq!((response.status, response.text()), (413, "too long for me"));
     let response = world.caller().await.ask("/write/a", "r2").await;
     assert_eq!(response.text(), "next");
-    let seen = world.served[0].back_end.seen();
-    assert_eq!(seen.last().unwrap().connection, 2, "the first connection still expects the rest of the body");
+    let received = world.served[0].back_end.received();
+    assert_eq!(
+        received.last().unwrap().connection,
+        2,
+        "the first connection still expects the rest of the body"
+    );
 }
 
 #[tokio::test(start_paused = true)]
 async fn truncated_request_body_never_reaches_a_back_end() {
-    let world = World::with_routes(vec![vec![ok("a")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
     caller.write(format!("{head}Content-Length: 1000\r\n\r\nonly a part")).await;
@@ -194,7 +199,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn requests_to_a_dead_node_are_sent_elsewhere() {
-    let world = World::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("a")], vec![ok("b")]]).await;
     world.network.kill(host(10));
     for number in 0..5 {
         let response = world.caller().await.ask("/write/a", &format!("r{number}")).await;
@@ -204,8 +209,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn node_crash_during_a_request_leaves_its_outcome_unknown() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_000 };
-    let world = World::with_routes(vec![vec![slow]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "a", after: 1_000 };
+    let world = TestCluster::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
     caller.send("/write/a", "r1").await;
     pause(100).await;
@@ -215,8 +220,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn caller_disconnect_cancels_the_request_at_the_back_end() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_500 };
-    let world = World::with_routes(vec![vec![slow]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "a", after: 1_500 };
+    let world = TestCluster::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
     caller.send("/read/a", "r1").await;
     pause(200).await;
@@ -232,8 +237,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn caller_disconnect_cancels_all_pipelined_requests() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "a", after: 1_500 };
-    let world = World::with_routes(vec![vec![slow]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "a", after: 1_500 };
+    let world = TestCluster::with_routes(vec![vec![slow]]).await;
     let mut caller = world.caller().await;
     for number in 0..6 {
         caller.send("/read/a", &format!("r{number}")).await;
@@ -249,9 +254,9 @@
 
 #[tokio::test(start_paused = true)]
 async fn retries_stay_within_the_retry_budget() {
-    let failed = ScriptedResponse::Answer { status: 500, body: "sorry", after: 1 };
+    let failed = ScriptedResponse::Respond { status: 500, body: "sorry", after: 1 };
     let budget = RetryBudgetSettings { ratio: 0.2, extra: 100.0, window: Duration::from_secs(10) };
-    let world = World::with_budget(vec![vec![failed.clone()], vec![failed]], budget).await;
+    let world = TestCluster::with_budget(vec![vec![failed.clone()], vec![failed]], budget).await;
     world.outbound.set_sharing_nodes(1);
     let mut caller = world.caller().await;
     caller.ask("/read/a", "first").await;
--- a/crates/forwarding/tests/overload.rs
+++ b/crates/forwarding/tests/overload.rs
@@ -2,7 +2,7 @@
 
 mod support;
 
-use support::World;
+use support::TestCluster;
 use support::back_end::ScriptedResponse;
 use tokio::task::JoinHandle;
 use tokio::time::Instant;
@@ -23,8 +23,8 @@
 /// objective: half of them would be late, and a full queue would be no better than a short one.
 #[tokio::test(start_paused = true)]
 async fn overload_does_not_delay_responses_to_the_objective_nor_refusals() {
-    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
-    let world = World::with_routes(vec![vec![act]]).await;
+    let act = ScriptedResponse::Respond { status: 200, body: "a", after: WORK_MILLIS };
+    let world = TestCluster::with_routes(vec![vec![act]]).await;
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
     }
@@ -64,8 +64,8 @@
 /// at once and asked to retry soon.
 #[tokio::test(start_paused = true)]
 async fn retry_delays_of_refused_callers_are_spread_over_their_timeout() {
-    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
-    let world = World::with_routes(vec![vec![act]]).await;
+    let act = ScriptedResponse::Respond { status: 200, body: "a", after: WORK_MILLIS };
+    let world = TestCluster::with_routes(vec![vec![act]]).await;
     for number in 0..6 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
     }
@@ -94,8 +94,8 @@
 /// waited before.
 #[tokio::test(start_paused = true)]
 async fn first_tries_precede_retries_and_short_timeouts_are_not_taken_for_retries() {
-    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
-    let world = World::with_routes(vec![vec![act]]).await;
+    let act = ScriptedResponse::Respond { status: 200, body: "a", after: WORK_MILLIS };
+    let world = TestCluster::with_routes(vec![vec![act]]).await;
     // Two kinds of callers, with timeouts of 2.4 and 1.2 s.
     for number in 0..40 {
         let time = if number % 2 == 0 { 2_400 } else { 1_200 };
@@ -125,8 +125,8 @@
 /// timeout: it waits only as long as that helps.
 #[tokio::test(start_paused = true)]
 async fn late_request_is_not_queued_beyond_half_of_its_callers_timeout() {
-    let act = ScriptedResponse::Answer { status: 200, body: "a", after: 1_900 };
-    let world = World::with_routes(vec![vec![act], vec![support::back_end::ok("b")]]).await;
+    let act = ScriptedResponse::Respond { status: 200, body: "a", after: 1_900 };
+    let world = TestCluster::with_routes(vec![vec![act], vec![support::back_end::ok("b")]]).await;
     // The second node is silent. Detecting that takes 300 ms, so the refusal would no longer be early.
     world.network.cut(support::host(1), support::host(11));
     let mut pending = Vec::new();
@@ -154,8 +154,8 @@
 /// be measured.
 #[tokio::test(start_paused = true)]
 async fn objective_beyond_the_callers_timeout_does_not_block_the_first_requests() {
-    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
-    let world = World::new(vec![vec![act]]).await;
+    let act = ScriptedResponse::Respond { status: 200, body: "a", after: WORK_MILLIS };
+    let world = TestCluster::new(vec![vec![act]]).await;
     let mut snapshot = support::snapshot();
     let route = support::route("/read/", true);
     let policy = RoutePolicy { objective: Some(Millis(10_000)), ..route.policy };
@@ -193,8 +193,8 @@
 
 /// Sends 14 concurrent requests of priority 0, seven times the number of slots.
 async fn send_with_priority_0(class: RequestClass) -> Vec<Outcome> {
-    let act = ScriptedResponse::Answer { status: 200, body: "a", after: WORK_MILLIS };
-    let world = World::new(vec![vec![act]]).await;
+    let act = ScriptedResponse::Respond { status: 200, body: "a", after: WORK_MILLIS };
+    let world = TestCluster::new(vec![vec![act]]).await;
     let mut snapshot = support::snapshot();
     let route = support::route("/read/", true);
     let policy = RoutePolicy { priority: Some(0), ..route.policy };
@@ -225,7 +225,7 @@
 }
 
 /// Sends a request whose caller waits for `time` ms. Returns the status of the response and when it arrived.
-async fn start_request(world: &World, id: String, time: u64) -> JoinHandle<(u16, Instant)> {
+async fn start_request(world: &TestCluster, id: String, time: u64) -> JoinHandle<(u16, Instant)> {
     let mut caller = world.caller().await;
     tokio::spawn(async move {
         caller.write(request_with_timeout("/read/a", &id, time)).await;
--- a/crates/forwarding/tests/path.rs
+++ b/crates/forwarding/tests/path.rs
@@ -4,13 +4,13 @@
 
 use support::back_end::{ScriptedResponse, ok};
 use support::caller::get;
-use support::{SLOTS, World, name, pause, route, snapshot};
+use support::{SLOTS, TestCluster, name, pause, route, snapshot};
 use tokio::time::Instant;
 use umberpond_config::{Destination, Entry};
 
 #[tokio::test(start_paused = true)]
 async fn request_and_response_pass_through_both_nodes() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let mut caller = world.caller().await;
     let request = "POST /write/a%20b?c=d HTTP/1.1\r\nHost: x.example:80\r\numberpond-request: r1\r\n\
                    umberpond-deadline: 1500\r\nX-Own: kept\r\nConnection: keep-alive, X-Gone\r\nX-Gone: 1\r\n\
@@ -21,22 +21,25 @@
     assert_eq!(response.fields.text("x-proof"), Some("proof-of-life-10"));
     assert_eq!(response.fields.text("kept"), Some("yes"));
     assert_eq!(response.fields.text("umberpond-request"), Some("r1"));
-    let [seen] = &world.served[0].back_end.seen()[..] else { panic!("one request") };
-    assert_eq!((&seen.head.method[..], &seen.head.target[..]), (&b"POST"[..], &b"/write/a%20b?c=d"[..]));
-    assert_eq!(seen.body, b"body");
-    assert_eq!(seen.text("host"), Some("x.example:80"));
-    assert_eq!(seen.text("x-own"), Some("kept"));
-    assert_eq!(seen.text("x-gone"), None);
-    assert_eq!(seen.text("umberpond-request"), Some("r1"));
-    assert_eq!(seen.text("umberpond-meant-instance"), Some("life-10"));
-    assert_eq!(seen.text("umberpond-caller-service"), Some("storefront"));
-    let left: u64 = seen.text("umberpond-deadline").unwrap().parse().unwrap();
+    let [received] = &world.served[0].back_end.received()[..] else { panic!("one request") };
+    assert_eq!(
+        (&received.head.method[..], &received.head.target[..]),
+        (&b"POST"[..], &b"/write/a%20b?c=d"[..])
+    );
+    assert_eq!(received.body, b"body");
+    assert_eq!(received.text("host"), Some("x.example:80"));
+    assert_eq!(received.text("x-own"), Some("kept"));
+    assert_eq!(received.text("x-gone"), None);
+    assert_eq!(received.text("umberpond-request"), Some("r1"));
+    assert_eq!(received.text("umberpond-meant-instance"), Some("life-10"));
+    assert_eq!(received.text("umberpond-caller-service"), Some("storefront"));
+    let left: u64 = received.text("umberpond-deadline").unwrap().parse().unwrap();
     assert!((1_400..=1_500).contains(&left), "{left}");
 }
 
 #[tokio::test(start_paused = true)]
 async fn reserved_header_fields_of_callers_are_removed() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let mut caller = world.caller().await;
     caller
         .write(
@@ -46,19 +49,19 @@
         )
         .await;
     assert_eq!(caller.read().await.unwrap().status, 200);
-    let [seen] = &world.served[0].back_end.seen()[..] else { panic!("one request") };
-    assert_eq!(seen.head.fields.get_all("umberpond-caller-service").count(), 1);
-    assert_eq!(seen.text("umberpond-caller-service"), Some("storefront"));
-    assert_eq!(seen.head.fields.get_all("umberpond-meant-instance").count(), 1);
-    assert_eq!(seen.text("umberpond-meant-instance"), Some("life-10"));
+    let [received] = &world.served[0].back_end.received()[..] else { panic!("one request") };
+    assert_eq!(received.head.fields.get_all("umberpond-caller-service").count(), 1);
+    assert_eq!(received.text("umberpond-caller-service"), Some("storefront"));
+    assert_eq!(received.head.fields.get_all("umberpond-meant-instance").count(), 1);
+    assert_eq!(received.text("umberpond-meant-instance"), Some("life-10"));
     for absent in ["umberpond-load", "umberpond-rejected", "umberpond-serving-instance"] {
-        assert_eq!(seen.text(absent), None, "{absent}");
+        assert_eq!(received.text(absent), None, "{absent}");
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn chunked_and_long_request_bodies_arrive_complete() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let mut caller = world.caller().await;
     let head = "POST /write/a HTTP/1.1\r\nHost: x.example\r\numberpond-request: r1\r\n";
     caller.write(format!("{head}Transfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n2\r\nde\r\n0\r\n\r\n")).await;
@@ -68,19 +71,19 @@
     caller.write(format!("{head}Content-Length: {}\r\n\r\n", long.len())).await;
     caller.write(&long).await;
     assert_eq!(caller.read().await.unwrap().status, 200);
-    let seen = world.served[0].back_end.seen();
-    assert_eq!(seen[0].body, b"abcde");
-    assert_eq!(seen[1].body, long);
+    let received = world.served[0].back_end.received();
+    assert_eq!(received[0].body, b"abcde");
+    assert_eq!(received[1].body, long);
 }
 
 #[tokio::test(start_paused = true)]
 async fn slow_response_is_streamed_before_it_is_complete() {
-    let slowly = ScriptedResponse::Slowly {
+    let slowly = ScriptedResponse::InTwoParts {
         first: "HTTP/1.1 200 OK\r\numberpond-request: {id}\r\nx-proof: p\r\nContent-Length: 10\r\n\r\nfirst",
         second: "other",
         after: 1_000,
     };
-    let world = World::with_routes(vec![vec![slowly]]).await;
+    let world = TestCluster::with_routes(vec![vec![slowly]]).await;
     let mut caller = world.caller().await;
     let began = Instant::now();
     caller.send("/read/a", "r1").await;
@@ -93,8 +96,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn pipelined_requests_run_concurrently_and_replies_keep_their_order() {
-    let slow = ScriptedResponse::Answer { status: 200, body: "slow", after: 300 };
-    let world = World::with_routes(vec![vec![slow, ok("quick")]]).await;
+    let slow = ScriptedResponse::Respond { status: 200, body: "slow", after: 300 };
+    let world = TestCluster::with_routes(vec![vec![slow, ok("quick")]]).await;
     let mut caller = world.caller().await;
     let began = Instant::now();
     caller.write(get("/read/1", "r1") + &get("/read/2", "r2")).await;
@@ -103,14 +106,15 @@
     assert_eq!((first.text(), second.text()), ("slow", "quick"));
     assert_eq!(second.fields.text("umberpond-request"), Some("r2"));
     assert!(began.elapsed().as_millis() < 330, "the second request must not wait for the first");
-    let seen = world.served[0].back_end.seen();
-    assert!(seen[1].at - seen[0].at < std::time::Duration::from_millis(50));
+    let received = world.served[0].back_end.received();
+    assert!(received[1].at - received[0].at < std::time::Duration::from_millis(50));
 }
 
 #[tokio::test(start_paused = true)]
 async fn back_end_connections_are_reused_and_never_exceed_its_slots() {
     let world =
-        World::with_routes(vec![vec![ScriptedResponse::Answer { status: 200, body: "a", after: 50 }]]).await;
+        TestCluster::with_routes(vec![vec![ScriptedResponse::Respond { status: 200, body: "a", after: 50 }]])
+            .await;
     // As long as the speed of the back end is unknown, some of eight concurrent requests are refused.
     for number in 0..3 {
         assert_eq!(world.caller().await.ask("/read/a", &format!("w{number}")).await.status, 200);
@@ -128,7 +132,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn missing_configuration_is_not_reported_as_missing_route() {
-    let world = World::new(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::new(vec![vec![ok("whole")]]).await;
     let response = world.caller().await.ask("/read/a", "r1").await;
     assert_eq!(response.status, 503);
     assert!(response.fields.contains("retry-after"));
@@ -145,7 +149,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn longest_prefix_wins_and_the_split_follows_the_weights() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let mut changed = snapshot();
     let mut inner = route("/read/inner/", true);
     inner.split = vec![
@@ -167,7 +171,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn older_configuration_never_replaces_a_newer_one() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     world.activate(9, &snapshot());
     let table = umberpond_forwarding::RoutingTable::compile(
         umberpond_model::Version(8),
@@ -181,7 +185,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn invalid_requests_get_an_error_and_their_connection_is_closed() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let long = "y".repeat(5_000);
     for (bytes, status) in [
         ("rubbish\r\n\r\n".to_owned(), 400),
@@ -205,7 +209,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn idle_connection_is_closed_after_the_configured_timeout() {
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let mut changed = snapshot();
     changed.limits.idle_time = umberpond_model::Millis(5_000);
     world.activate(2, &changed);
@@ -222,7 +226,7 @@
 #[tokio::test(start_paused = true)]
 async fn listener_at_its_connection_limit_reports_that_it_is_full() {
     const MOST_CONNECTIONS: usize = 1_500;
-    let world = World::with_routes(vec![vec![ok("whole")]]).await;
+    let world = TestCluster::with_routes(vec![vec![ok("whole")]]).await;
     let mut callers = Vec::new();
     for _ in 0..MOST_CONNECTIONS {
         callers.push(world.caller().await);
--- a/crates/forwarding/tests/rejections.rs
+++ b/crates/forwarding/tests/rejections.rs
@@ -5,7 +5,7 @@
 mod support;
 
 use support::back_end::{ScriptedResponse, ok};
-use support::{SLOTS, World, pause};
+use support::{SLOTS, TestCluster, pause};
 use umberpond_telemetry::Event;
 
 const REJECTED: ScriptedResponse =
@@ -17,10 +17,10 @@
 const MAX_ARRIVALS: usize = 4;
 
 /// One back end that acts as given, and `count` that reject everything.
-async fn world(count: usize, act: ScriptedResponse) -> World {
+async fn world(count: usize, act: ScriptedResponse) -> TestCluster {
     let mut scripts = vec![vec![REJECTED]; count];
     scripts.push(vec![act]);
-    World::with_routes(scripts).await
+    TestCluster::with_routes(scripts).await
 }
 
 #[tokio::test(start_paused = true)]
@@ -36,7 +36,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn rejected_request_reaches_four_back_ends_at_most() {
-    let world = World::with_routes(vec![vec![REJECTED]; MAX_ARRIVALS + 3]).await;
+    let world = TestCluster::with_routes(vec![vec![REJECTED]; MAX_ARRIVALS + 3]).await;
     let response = world.caller().await.ask("/read/a", "r1").await;
     assert_eq!(response.status, 503);
     assert_eq!(world.arrivals(), MAX_ARRIVALS);
@@ -46,7 +46,7 @@
 async fn runs_stay_within_the_limit_of_the_route_after_rejections() {
     let mut scripts = vec![vec![REJECTED]; 2];
     scripts.extend(vec![vec![INVALID]; 4]);
-    let world = World::with_routes(scripts).await;
+    let world = TestCluster::with_routes(scripts).await;
     for number in 0..20 {
         let before = world.arrivals();
         let response = world.caller().await.ask("/read/a", &format!("r{number}")).await;
@@ -54,25 +54,26 @@
         assert!(world.arrivals() - before <= MAX_ARRIVALS);
     }
     for served in &world.served[2..] {
-        let seen = served.back_end.seen();
-        assert!(!seen.is_empty());
+        let received = served.back_end.received();
+        assert!(!received.is_empty());
     }
     for number in 0..20 {
         let id = format!("r{number}");
-        let is_of = |seen: &support::back_end::Seen| seen.text("umberpond-request") == Some(&id);
-        let seen = world.served[2..].iter().flat_map(|served| served.back_end.seen());
-        assert!(seen.filter(is_of).count() <= ATTEMPTS);
+        let is_of =
+            |received: &support::back_end::ReceivedRequest| received.text("umberpond-request") == Some(&id);
+        let received = world.served[2..].iter().flat_map(|served| served.back_end.received());
+        assert!(received.filter(is_of).count() <= ATTEMPTS);
     }
 }
 
 #[tokio::test(start_paused = true)]
 async fn rejections_with_and_without_free_slots_have_different_reasons() {
-    const SLOW_REJECTED: ScriptedResponse = ScriptedResponse::Slowly {
+    const SLOW_REJECTED: ScriptedResponse = ScriptedResponse::InTwoParts {
         first: "",
         second: "HTTP/1.1 503 Full\r\numberpond-rejected: 1\r\nContent-Length: 0\r\n\r\n",
         after: 50,
     };
-    let world = World::with_routes(vec![vec![SLOW_REJECTED]]).await;
+    let world = TestCluster::with_routes(vec![vec![SLOW_REJECTED]]).await;
     world.caller().await.ask("/read/a", "alone").await;
     let mut pending = Vec::new();
     for number in 0..SLOTS {
@@ -98,7 +99,7 @@
 #[tokio::test(start_paused = true)]
 async fn retry_delays_after_a_fault_are_within_the_objective() {
     // The objective is 500 ms.
-    let world = World::with_routes(vec![vec![REJECTED]; 2]).await;
+    let world = TestCluster::with_routes(vec![vec![REJECTED]; 2]).await;
     let mut delays = Vec::new();
     for number in 0..40 {
         let response = world.caller().await.ask("/read/a", &format!("r{number}")).await;
@@ -112,7 +113,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn retry_delay_of_a_refused_caller_is_logged() {
-    let world = World::with_routes(vec![vec![REJECTED]; 2]).await;
+    let world = TestCluster::with_routes(vec![vec![REJECTED]; 2]).await;
     world.caller().await.ask("/read/a", "r1").await;
     let logged_delay = |event: &Event| match event {
         Event::ComeBackTold { request, reason, after_millis, objective_left_millis, .. } => {
--- a/crates/forwarding/tests/retry_budget.rs
+++ b/crates/forwarding/tests/retry_budget.rs
@@ -35,7 +35,7 @@
         tokio::spawn(async move { fleet.send_until(path, per_second, end).await });
     }
     sleep(Duration::from_secs(10)).await;
-    fleet.turn_away(REJECTED_OF_TWENTY);
+    fleet.set_rejections(REJECTED_OF_TWENTY);
     for number in 0..7 {
         sleep(Duration::from_millis(1_600)).await;
         if restarts == Restarts::OneByOne {
@@ -47,7 +47,7 @@
             }
         }
     }
-    fleet.turn_away(0);
+    fleet.set_rejections(0);
     sleep(Duration::from_secs(5)).await;
     fleet
 }
--- a/crates/forwarding/tests/retry_priority.rs
+++ b/crates/forwarding/tests/retry_priority.rs
@@ -27,7 +27,7 @@
     }
     sleep(Duration::from_secs(10)).await;
     let before = (served(&fleet, "/desk/"), served(&fleet, "/ledger/check/"));
-    fleet.turn_away(REJECTED_OF_TWENTY);
+    fleet.set_rejections(REJECTED_OF_TWENTY);
     if restarts {
         for number in 0..5 {
             sleep(Duration::from_millis(1_600)).await;
--- a/crates/forwarding/tests/support/back_end.rs
+++ b/crates/forwarding/tests/support/back_end.rs
@@ -14,18 +14,18 @@
 #[derive(Debug, Clone)]
 pub enum ScriptedResponse {
     /// Responds with this status and body after some milliseconds.
-    Answer { status: u16, body: &'static str, after: u64 },
+    Respond { status: u16, body: &'static str, after: u64 },
     /// Writes this instead of a regular response; `{id}` stands for the identity of the request. The
     /// connection stays open.
     Raw(&'static str),
     /// As [`ScriptedResponse::Raw`], and closes the connection.
     RawThenClose(&'static str),
     /// Writes the first part immediately, and the second after some milliseconds.
-    Slowly { first: &'static str, second: &'static str, after: u64 },
+    InTwoParts { first: &'static str, second: &'static str, after: u64 },
     /// Sends no response and keeps the connection open.
-    Silence,
+    NoResponse,
     /// Responds before it has read the body, and reads nothing more.
-    EarlyAnswer { status: u16, body: &'static str },
+    RespondEarly { status: u16, body: &'static str },
 }
 
 /// The actions in the order of the requests; the last one is repeated.
@@ -33,19 +33,19 @@
 
 /// A successful response with a body, after 5 ms.
 pub const fn ok(body: &'static str) -> ScriptedResponse {
-    ScriptedResponse::Answer { status: 200, body, after: 5 }
+    ScriptedResponse::Respond { status: 200, body, after: 5 }
 }
 
 /// A request as the back end received it.
 #[derive(Debug, Clone)]
-pub struct Seen {
+pub struct ReceivedRequest {
     pub head: RequestHead,
     pub body: Vec<u8>,
     pub at: Instant,
     pub connection: usize,
 }
 
-impl Seen {
+impl ReceivedRequest {
     pub fn text(&self, name: &str) -> Option<&str> {
         self.head.fields.text(name)
     }
@@ -58,7 +58,7 @@
 struct State {
     /// Load in health responses; [`HEALTH_LOAD`] if `None`.
     health_load: Option<&'static str>,
-    seen: Vec<Seen>,
+    received: Vec<ReceivedRequest>,
     connections: usize,
     closed: Vec<(usize, Instant)>,
 }
@@ -92,8 +92,8 @@
         Self { state }
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
-        self.state.lock().seen.clone()
+    pub fn received(&self) -> Vec<ReceivedRequest> {
+        self.state.lock().received.clone()
     }
 
     /// Sets the load in health responses.
@@ -126,12 +126,12 @@
             continue;
         }
         let act = {
-            let number = state.lock().seen.len();
+            let number = state.lock().received.len();
             script[number.min(script.len() - 1)].clone()
         };
         let at = Instant::now();
         let mut body = Vec::new();
-        if !matches!(act, ScriptedResponse::EarlyAnswer { .. }) {
+        if !matches!(act, ScriptedResponse::RespondEarly { .. }) {
             let mut decoder = BodyDecoder::new(request_framing(&head).unwrap());
             match reader.whole_body(&mut decoder, 1 << 20).await {
                 Ok(Some(whole)) => body = whole.to_vec(),
@@ -139,9 +139,9 @@
             }
         }
         let id = head.fields.text("umberpond-request").unwrap_or_default().to_owned();
-        state.lock().seen.push(Seen { head, body, at, connection });
+        state.lock().received.push(ReceivedRequest { head, body, at, connection });
         match act {
-            ScriptedResponse::Answer { status, body, after } => {
+            ScriptedResponse::Respond { status, body, after } => {
                 tokio::select! {
                     biased;
                     () = reader.peer_gone(1) => return,
@@ -152,12 +152,12 @@
                     return;
                 }
             }
-            ScriptedResponse::EarlyAnswer { status, body } => {
+            ScriptedResponse::RespondEarly { status, body } => {
                 writer.write_all(response(status, body, &id, instance).as_bytes()).await.unwrap();
                 reader.peer_gone(usize::MAX).await;
                 return;
             }
-            ScriptedResponse::Slowly { first, second, after } => {
+            ScriptedResponse::InTwoParts { first, second, after } => {
                 writer.write_all(first.replace("{id}", &id).as_bytes()).await.unwrap();
                 sleep(Duration::from_millis(after)).await;
                 if writer.write_all(second.as_bytes()).await.is_err() {
@@ -171,7 +171,7 @@
                 writer.write_all(raw.replace("{id}", &id).as_bytes()).await.unwrap();
                 return;
             }
-            ScriptedResponse::Silence => {
+            ScriptedResponse::NoResponse => {
                 reader.peer_gone(usize::MAX).await;
                 return;
             }
--- a/crates/forwarding/tests/support/caller.rs
+++ b/crates/forwarding/tests/support/caller.rs
@@ -9,14 +9,14 @@
 
 /// A response as the caller read it.
 #[derive(Debug, Clone)]
-pub struct Read {
+pub struct ReceivedResponse {
     pub status: u16,
     pub fields: Fields,
     /// `None` if the body ended prematurely.
     pub body: Option<Vec<u8>>,
 }
 
-impl Read {
+impl ReceivedResponse {
     pub fn text(&self) -> &str {
         std::str::from_utf8(self.body.as_deref().unwrap_or_default()).unwrap()
     }
@@ -44,11 +44,15 @@
     }
 
     /// Reads the next response; `None` if the connection ends before one.
-    pub async fn read(&mut self) -> Option<Read> {
+    pub async fn read(&mut self) -> Option<ReceivedResponse> {
         let head = self.reader.response_head(64 * 1024).await.ok()?;
         let mut decoder = BodyDecoder::new(response_framing(&head, b"GET").unwrap());
         let body = self.reader.whole_body(&mut decoder, 1 << 22).await.ok().flatten();
-        Some(Read { status: head.status, fields: head.fields, body: body.map(|body| body.to_vec()) })
+        Some(ReceivedResponse {
+            status: head.status,
+            fields: head.fields,
+            body: body.map(|body| body.to_vec()),
+        })
     }
 
     /// Reads the head of the next response.
@@ -64,7 +68,7 @@
     }
 
     /// Sends a request and reads its response.
-    pub async fn ask(&mut self, path: &str, id: &str) -> Read {
+    pub async fn ask(&mut self, path: &str, id: &str) -> ReceivedResponse {
         self.send(path, id).await;
         self.read().await.expect("a response")
     }
--- a/crates/forwarding/tests/support/chain.rs
+++ b/crates/forwarding/tests/support/chain.rs
@@ -21,7 +21,7 @@
 use umberpond_telemetry::{MemoryRecorder, Telemetry};
 use umberpond_virtual_network::SimNetwork;
 
-use super::caller::{Caller, Read};
+use super::caller::{Caller, ReceivedResponse};
 use super::{BACK_END_PORT, DIALECT, INBOUND_PORT, OUTBOUND_PORT, host, locality, name, route, service};
 
 /// Host of the calling back end and of the node that receives the callers' requests.
@@ -33,7 +33,7 @@
 
 /// A back end of the called service.
 #[derive(Debug, Clone, Copy)]
-pub struct Called {
+pub struct CalledBackEnd {
     pub host: u8,
     pub slots: u32,
     /// Service time of a call in milliseconds.
@@ -44,13 +44,13 @@
 #[derive(Debug)]
 pub struct Outcome {
     pub id: String,
-    pub answer: Read,
+    pub answer: ReceivedResponse,
     pub taken: Duration,
 }
 
 /// The nodes of both services.
 #[derive(Clone)]
-pub struct Chain {
+pub struct CallChain {
     pub network: SimNetwork,
     pub recorder: Arc<MemoryRecorder>,
     telemetry: Telemetry,
@@ -61,9 +61,9 @@
     calls: Arc<Mutex<Vec<RequestHead>>>,
 }
 
-impl Chain {
+impl CallChain {
     /// `called_time` is the timeout of the called route, in milliseconds.
-    pub async fn start(called: Called, called_time: u64) -> Self {
+    pub async fn start(called: CalledBackEnd, called_time: u64) -> Self {
         let recorder = Arc::new(MemoryRecorder::default());
         let chain = Self {
             network: SimNetwork::new(3, |_, _| Millis(1)),
@@ -85,7 +85,7 @@
     }
 
     /// Starts a back end of the called service that serves all calls from now on.
-    pub async fn replace_called_back_end(&self, called: Called) {
+    pub async fn replace_called_back_end(&self, called: CalledBackEnd) {
         let (_, endpoint) = self.start_node("ledger", called.host, called.slots, called.work).await;
         let desk = self.desk.lock();
         desk.as_ref().unwrap().set_endpoints(&name::<ServiceName>("ledger"), vec![endpoint]);
@@ -120,7 +120,7 @@
         self.calls.lock().clone()
     }
 
-    async fn ask(&self, path: &str, id: &str, from: u8) -> Read {
+    async fn ask(&self, path: &str, id: &str, from: u8) -> ReceivedResponse {
         let at = SocketAddr::new(host(DESK), OUTBOUND_PORT);
         let mut caller = Caller::connect(&self.network.host(host(from)), at).await;
         caller.send(path, id).await;
--- a/crates/forwarding/tests/support/fleet.rs
+++ b/crates/forwarding/tests/support/fleet.rs
@@ -134,7 +134,7 @@
     }
 
     /// Sets the number of requests in twenty that the back ends of `ledger` reject.
-    pub fn turn_away(&self, count: usize) {
+    pub fn set_rejections(&self, count: usize) {
         self.shared.rejections_in_twenty.store(count, Ordering::Relaxed);
     }
 
--- a/crates/forwarding/tests/support/mod.rs
+++ b/crates/forwarding/tests/support/mod.rs
@@ -66,20 +66,20 @@
 pub const SLOTS: u32 = 2;
 
 /// One node with its back end.
-pub struct Served {
+pub struct BackEndNode {
     pub inbound: Arc<Inbound>,
     pub back_end: ScriptedBackEnd,
     pub endpoint: Endpoint,
 }
 
 /// A node of callers and nodes with back ends of the service `archive`.
-pub struct World {
+pub struct TestCluster {
     pub network: SimNetwork,
     pub outbound: Arc<Outbound>,
     pub control: ServerControl,
     pub recorder: Arc<MemoryRecorder>,
     pub telemetry: Telemetry,
-    pub served: Vec<Served>,
+    pub served: Vec<BackEndNode>,
     callers: Arc<dyn Network>,
     link_rate: Option<f64>,
 }
@@ -131,20 +131,20 @@
     }
 }
 
-impl World {
+impl TestCluster {
     /// Starts a node of callers and a node for each script.
     pub async fn new(scripts: Vec<Script>) -> Self {
         Self::on_links(scripts, None, AMPLE_BUDGET).await
     }
 
-    /// As [`World::with_routes`], with the given retry budget.
+    /// As [`TestCluster::with_routes`], with the given retry budget.
     pub async fn with_budget(scripts: Vec<Script>, budget: RetryBudgetSettings) -> Self {
         let world = Self::on_links(scripts, None, budget).await;
         world.activate(1, &snapshot());
         world
     }
 
-    /// As [`World::with_routes`], with nodes that are configured with a link bandwidth of `rate` bytes per
+    /// As [`TestCluster::with_routes`], with nodes that are configured with a link bandwidth of `rate` bytes per
     /// second.
     pub async fn with_link(scripts: Vec<Script>, rate: f64) -> Self {
         let world = Self::on_links(scripts, Some(rate), AMPLE_BUDGET).await;
@@ -192,7 +192,7 @@
         world
     }
 
-    /// As [`World::new`], with the routes of [`snapshot`] active.
+    /// As [`TestCluster::new`], with the routes of [`snapshot`] active.
     pub async fn with_routes(scripts: Vec<Script>) -> Self {
         let world = Self::new(scripts).await;
         world.activate(1, &snapshot());
@@ -232,7 +232,7 @@
             slots: SLOTS,
             is_cold: false,
         };
-        self.served.push(Served { inbound, back_end, endpoint });
+        self.served.push(BackEndNode { inbound, back_end, endpoint });
     }
 
     /// Sends all endpoints to the callers' node.
@@ -248,7 +248,7 @@
 
     /// Number of requests that all back ends received.
     pub fn arrivals(&self) -> usize {
-        self.served.iter().map(|served| served.back_end.seen().len()).sum()
+        self.served.iter().map(|served| served.back_end.received().len()).sum()
     }
 }
 
