--- a/crates/daemon/src/membership/suspects.rs
+++ b/crates/daemon/src/membership/suspects.rs
@@ -39,7 +39,7 @@
     /// Sends findings of this node to other nodes.
     pub(super) fn broadcast(membership: &mut Membership, records: &[SuspectRecord]) -> Vec<Outgoing> {
         let audience = membership.audience();
-        audience.into_iter().flat_map(|to| in_datagrams(to, records, SuspectMessage::Told)).collect()
+        audience.into_iter().flat_map(|to| in_datagrams(to, records, SuspectMessage::Records)).collect()
     }
 
     /// Handles a message of the node at `from`.
@@ -50,8 +50,8 @@
         message: &SuspectMessage,
     ) -> Vec<Outgoing> {
         match message {
-            SuspectMessage::Told(records) => {
-                let changed = self.quarantine.join(records, FindingSource::Node).changed;
+            SuspectMessage::Records(records) => {
+                let changed = self.quarantine.merge(records, FindingSource::Node).changed;
                 if changed.is_empty() || membership.broadcasts_to_all() {
                     return Vec::new();
                 }
@@ -75,7 +75,7 @@
 
     /// Merges the records that another node has sent; returns those that the sender lacks.
     fn missing_at_sender(&self, records: &[SuspectRecord]) -> Vec<SuspectRecord> {
-        let outcome = self.quarantine.join(records, FindingSource::Node);
+        let outcome = self.quarantine.merge(records, FindingSource::Node);
         let was_sent = |fingerprint: &RequestFingerprint| {
             records.iter().any(|record| record.fingerprint == *fingerprint)
         };
--- a/crates/forwarding/tests/support/fleet.rs
+++ b/crates/forwarding/tests/support/fleet.rs
@@ -134,7 +134,7 @@
     }
 
     /// Sets the number of requests in twenty that the back ends of `ledger` reject.
-    pub fn turn_away(&self, count: usize) {
+    pub fn set_rejections(&self, count: usize) {
         self.shared.rejections_in_twenty.store(count, Ordering::Relaxed);
     }
 
@@ -233,7 +233,7 @@
         );
         let instance = format!("life-{number}");
         let back_end = BackEnd {
-            life: BackEndProcess::of(&instance),
+            process: BackEndProcess::of(&instance),
             service: name(service_of(number)),
             release: None,
             address: SocketAddr::new(host(address_of(number)), BACK_END_PORT),
--- a/crates/selection/tests/simulation/mod.rs
+++ b/crates/selection/tests/simulation/mod.rs
@@ -58,7 +58,7 @@
     pub callers_get_slowdown: bool,
     /// Interval between two load reports of a node to all others.
     pub report_interval: Duration,
-    pub draw: SamplingSettings,
+    pub sampling: SamplingSettings,
     pub seed: u64,
 }
 
@@ -151,7 +151,7 @@
         let service = parsed("archive");
         let endpoints: Vec<Endpoint> = (0..NODES).map(endpoint).collect();
         let callers = (0..NODES).map(|number| {
-            let settings = SelectorSettings { draw: scenario.draw, ..SelectorSettings::default() };
+            let settings = SelectorSettings { sampling: scenario.sampling, ..SelectorSettings::default() };
             let mut selector = Selector::new(endpoints[number].locality.clone(), settings);
             selector.set_endpoints(epoch, &service, endpoints.clone());
             selector
@@ -336,7 +336,7 @@
         let BackEnd { queue, running, .. } = &mut self.back_ends[request.at];
         *running -= 1;
         if self.scenario.reports_slowdown {
-            queue.slowdown().on_word(now, percent).expect("the slowdown should be valid");
+            queue.slowdown().on_report(now, percent).expect("the slowdown should be valid");
         }
         let usual = queue.slowdown().normalized_time(now, taken);
         queue.finish(Some(usual));
