--- a/crates/telemetry/examples/events_page.rs
+++ b/crates/telemetry/examples/events_page.rs
@@ -1,4 +1,4 @@
-//! Prints `docs/EVENTS.md`.
+//! Prints the contents of `docs/EVENTS.md`.
 
 fn main() {
     print!("{}", umberpond_telemetry::catalogue_page());
--- a/crates/telemetry/src/catalogue/declare.rs
+++ b/crates/telemetry/src/catalogue/declare.rs
@@ -1,11 +1,11 @@
-//! The macro that declares the events together with their catalogue entries.
+//! The macro that declares the events and their catalogue entries.
 
-/// Declares [`Event`](super::Event) and its catalogue.
+/// Declares the enum [`Event`](super::Event) and its catalogue.
 macro_rules! catalogue {
     ($(
         $name:ident { $($field:ident: $type:ty),* } = $number:literal, $severity:ident, $slug:literal, $meaning:literal;
     )*) => {
-        /// One thing that happened, with its typed fields.
+        /// An event with its typed fields.
         #[derive(Debug, Clone, PartialEq, Eq)]
         pub enum Event {
             $(
@@ -20,7 +20,7 @@
         }
 
         impl Event {
-            /// Every kind of event, in order of its number.
+            /// All kinds of events, ordered by number.
             pub const CATALOGUE: &'static [CatalogueEntry] = &[
                 $(CatalogueEntry {
                     number: $number,
@@ -31,7 +31,7 @@
                 },)*
             ];
 
-            /// Number of the event.
+            /// Number that identifies the kind of event.
             #[must_use]
             pub const fn number(&self) -> u16 {
                 match self {
@@ -47,7 +47,7 @@
                 }
             }
 
-            /// Short name of the event.
+            /// Short name of the kind of event, as in logs.
             #[must_use]
             pub const fn slug(&self) -> &'static str {
                 match self {
@@ -55,7 +55,7 @@
                 }
             }
 
-            /// What the event means.
+            /// Description of the kind of event; the message of its log line.
             #[must_use]
             pub const fn meaning(&self) -> &'static str {
                 match self {
@@ -63,7 +63,7 @@
                 }
             }
 
-            /// The fields with their values, in the catalogue's order.
+            /// The fields with their values, in declaration order.
             #[must_use]
             pub fn fields(&self) -> Vec<Field> {
                 match self {
--- a/crates/telemetry/src/entry.rs
+++ b/crates/telemetry/src/entry.rs
@@ -1,4 +1,4 @@
-//! What the catalogue says about one kind of event, and the values of its fields.
+//! Catalogue entries and event fields.
 
 use std::fmt;
 use std::net::SocketAddr;
@@ -9,22 +9,22 @@
     SubmissionId, Version,
 };
 
-/// How much an event matters to an operator.
+/// Severity of an event for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Severity {
-    /// Of use when looking for a cause.
+    /// Diagnostic detail.
     Debug,
-    /// The normal course.
+    /// Normal operation.
     Info,
-    /// Something failed and is being dealt with.
+    /// A failure that the program handles itself.
     Warn,
-    /// Somebody has to act.
+    /// A failure that an operator has to act on.
     Error,
 }
 
 impl Severity {
-    /// The severity as it stands in the catalogue's page.
+    /// Name of the severity in `docs/EVENTS.md`.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -39,15 +39,15 @@
 /// The catalogue's entry for one kind of event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct CatalogueEntry {
-    /// Number of the event; never used again for another event.
+    /// Number of the event; never reused for another event.
     pub number: u16,
     /// Severity of the event.
     pub severity: Severity,
     /// Short name for filters and alerts.
     pub slug: &'static str,
-    /// What the event means.
+    /// Description of the event; the message of its log line.
     pub meaning: &'static str,
-    /// Names of the fields in order.
+    /// Names of the fields, in declaration order.
     pub fields: &'static [&'static str],
 }
 
@@ -56,16 +56,16 @@
 pub struct Field {
     /// Name of the field.
     pub name: &'static str,
-    /// Its value.
+    /// Value of the field.
     pub value: FieldValue,
 }
 
 /// The value of a field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FieldValue {
-    /// A count, a number or a duration in the unit that the field's name tells.
+    /// A count, a number or a duration in the unit that the field's name ends with.
     Number(u64),
-    /// Anything else.
+    /// Any other value, as text.
     Text(String),
 }
 
--- a/crates/telemetry/src/lib.rs
+++ b/crates/telemetry/src/lib.rs
@@ -1,8 +1,8 @@
 //! Numbered events, their catalogue, metrics and log output.
 //!
-//! Every event that the program tells has a number, a level and typed fields, declared once in the catalogue
-//! ([`Event`]). `docs/EVENTS.md` is generated from it. [`Telemetry`] is a handle without global state, so that
-//! many nodes share one process in the simulation, each with its own observer.
+//! Every event that the program emits has a number, a severity and typed fields, declared once in the
+//! catalogue ([`Event`]), from which `docs/EVENTS.md` is generated. [`Telemetry`] is a handle without global
+//! state, so that the simulation can run many nodes in one process, each with its own observer.
 
 mod catalogue;
 mod entry;
--- a/crates/telemetry/src/logging.rs
+++ b/crates/telemetry/src/logging.rs
@@ -1,4 +1,4 @@
-//! Log output through `logforth`: one line an event, as text or as JSON, on standard output.
+//! Log output through `logforth`: one line per event on standard output, as text or as JSON.
 
 use std::panic::Location;
 use std::sync::Arc;
@@ -12,34 +12,34 @@
 use crate::output::{Output, OutputAppend};
 use crate::{Event, Field, FieldValue, Severity};
 
-/// Name under which all events are logged.
+/// Log target of all events.
 const LOG_TARGET: &str = "umberpond";
 
-/// Form of the log lines.
+/// Format of the log lines.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum LogFormat {
-    /// For people.
+    /// Human-readable text.
     #[default]
     Text,
-    /// One JSON object a line.
+    /// One JSON object per line.
     Json,
 }
 
-/// A logger of its own on standard output; nothing global is set.
-pub(crate) fn logger(format: LogFormat, least: Severity) -> (Logger, Arc<Output>) {
+/// Creates a logger that writes to standard output, without registering it globally.
+pub(crate) fn logger(format: LogFormat, min_severity: Severity) -> (Logger, Arc<Output>) {
     let output = Output::start();
     let append = match format {
         LogFormat::Text => OutputAppend::new(Arc::clone(&output), TextLayout::default().no_color()),
         LogFormat::Json => OutputAppend::new(Arc::clone(&output), JsonLayout::default()),
     };
-    let filter = LevelFilter::MoreSevereEqual(level(least));
+    let filter = LevelFilter::MoreSevereEqual(level(min_severity));
     let logger =
         logforth::core::builder().dispatch(|dispatch| dispatch.filter(filter).append(append)).build();
     (logger, output)
 }
 
-/// Writes `event`, told at `location`, to `logger`.
+/// Writes `event`, emitted at `location`, to `logger`.
 pub(crate) fn log(logger: &Logger, event: &Event, location: &'static Location<'static>) {
     let fields = event.fields();
     let mut values = Vec::with_capacity(fields.len() + 2);
--- a/crates/telemetry/src/metrics.rs
+++ b/crates/telemetry/src/metrics.rs
@@ -10,21 +10,21 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::{Registry, Unit};
 
-/// First bucket of the request histogram, in seconds.
-const FIRST_BUCKET_SECONDS: f64 = 0.000_25;
-/// Factor between two buckets.
+/// Upper bound of the first bucket of the request histogram, in seconds.
+const FIRST_BUCKET_BOUND_SECONDS: f64 = 0.000_25;
+/// Ratio between the upper bounds of two adjacent buckets.
 const BUCKET_FACTOR: f64 = 2.0;
-/// Number of buckets; the last one ends at about 16 s.
-const BUCKETS: u16 = 17;
-/// Ends of the buckets of answers by their time as a multiple of that expected.
-const RATIO_BUCKETS: [f64; 9] = [0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0];
+/// Number of buckets; the upper bound of the last one is about 16 s.
+const BUCKET_COUNT: u16 = 17;
+/// Upper bounds of the buckets for response times as a multiple of the expected time.
+const RESPONSE_RATIO_BUCKETS: [f64; 9] = [0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0];
 
-/// What made up most of the difference between the time of an answer and that expected.
+/// Main cause of the difference between the actual and the expected response time.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum DelayCause {
-    /// The wait for a slot, and the way between the nodes.
+    /// Waiting for a slot, and the network between the nodes.
     Wait,
-    /// The work in the back end.
+    /// Processing in the back end.
     Work,
 }
 
@@ -39,12 +39,12 @@
     }
 }
 
-/// Places of the tenants that took most slot time, as labels.
-const TENANT_PLACES: [&str; 3] = ["1", "2", "3"];
-/// The whole in thousandths.
-const WHOLE_PERMILLE: i64 = 1000;
+/// Label values of the tenants with the most slot time, by rank.
+const TENANT_RANK_LABELS: [&str; 3] = ["1", "2", "3"];
+/// All of the slot time, in thousandths.
+const FULL_PERMILLE: i64 = 1000;
 
-/// Direction of control bytes as seen from the node.
+/// Direction of control traffic as seen from the node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum Direction {
     /// Received.
@@ -64,16 +64,16 @@
     }
 }
 
-/// How far a version has come on this node.
+/// Stage of a configuration version on this node.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum VersionStage {
-    /// Newest version held.
+    /// Newest version that the node holds.
     Held,
     /// Newest version known to be committed.
     Committed,
-    /// Version in force.
+    /// Active version.
     Active,
-    /// Proved version floor.
+    /// Version floor that has been proven.
     Floor,
 }
 
@@ -118,7 +118,7 @@
     stage: &'static str,
 }
 
-/// Control bytes over all kinds of message.
+/// Control bytes, summed over all kinds of messages.
 #[derive(Debug, Default)]
 struct ControlTotals {
     received: AtomicU64,
@@ -134,12 +134,12 @@
     }
 }
 
-/// What a request's outcome goes with.
+/// Detail of a request's outcome.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub enum RequestDetail {
-    /// Status code of the back end's answer.
+    /// Status code of the back end's response.
     Status(u16),
-    /// Why the proxies answered themselves.
+    /// Reason for a response that a proxy made itself.
     Reason(&'static str),
 }
 
@@ -158,7 +158,7 @@
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct WordLabels {
+struct SlowdownLabels {
     outcome: &'static str,
 }
 
@@ -189,8 +189,8 @@
     request_seconds: Histogram,
     cuts: Family<CutLabels, Counter>,
     attempts: Counter,
-    slowdown_words: Family<WordLabels, Counter>,
-    expected_ratios: Family<CauseLabels, Histogram, fn() -> Histogram>,
+    reported_slowdowns: Family<SlowdownLabels, Counter>,
+    response_time_ratios: Family<CauseLabels, Histogram, fn() -> Histogram>,
     versions: Family<StageLabels, Gauge>,
     roles: Family<RoleLabels, Gauge>,
     platform_requests: Family<PlatformLabels, Counter>,
@@ -216,8 +216,8 @@
             request_seconds: request_histogram(),
             cuts: Family::default(),
             attempts: Counter::default(),
-            slowdown_words: Family::default(),
-            expected_ratios: Family::new_with_constructor(ratio_histogram),
+            reported_slowdowns: Family::default(),
+            response_time_ratios: Family::new_with_constructor(ratio_histogram),
             versions: Family::default(),
             roles: Family::default(),
             platform_requests: Family::default(),
@@ -239,11 +239,11 @@
 }
 
 fn request_histogram() -> Histogram {
-    Histogram::new(exponential_buckets(FIRST_BUCKET_SECONDS, BUCKET_FACTOR, BUCKETS))
+    Histogram::new(exponential_buckets(FIRST_BUCKET_BOUND_SECONDS, BUCKET_FACTOR, BUCKET_COUNT))
 }
 
 fn ratio_histogram() -> Histogram {
-    Histogram::new(RATIO_BUCKETS)
+    Histogram::new(RESPONSE_RATIO_BUCKETS)
 }
 
 impl Metrics {
@@ -292,13 +292,13 @@
         registry.register(
             "slowdown_words",
             "Figures by which the back end told how slow it is, by outcome: taken or invalid",
-            self.slowdown_words.clone(),
+            self.reported_slowdowns.clone(),
         );
         registry.register_with_unit(
             "answer_expected",
             "Time of an answered attempt as a multiple of that expected, by what made up most of the difference",
             Unit::Ratios,
-            self.expected_ratios.clone(),
+            self.response_time_ratios.clone(),
         );
         registry.register(
             "endpoints",
@@ -327,12 +327,12 @@
         );
     }
 
-    /// Counts one request whose tenant was at its limit.
+    /// Counts a request refused because its tenant was at its quota.
     pub fn quota_refused(&self) {
         self.quota_refusals.inc();
     }
 
-    /// Counts tokens of tenants that nobody used.
+    /// Counts granted quota tokens that expired unused.
     pub fn quota_tokens_expired(&self, count: u64) {
         self.quota_tokens_expired.inc_by(count);
     }
@@ -364,7 +364,7 @@
         self.control_messages.get_or_create(&labels).inc();
     }
 
-    /// All control bytes of one direction so far.
+    /// Total control bytes of one direction so far.
     #[must_use]
     pub fn control_bytes(&self, direction: Direction) -> u64 {
         self.control_totals.of(direction).load(Ordering::Relaxed)
@@ -375,45 +375,45 @@
         self.control_connections.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// Counts a request that has its final answer: `answered` with its status code, `rejected` or `unknown` with
-    /// the reason.
+    /// Counts a request that has its final response: `answered` with its status code, `rejected` or `unknown`
+    /// with the reason.
     pub fn request(&self, outcome: &'static str, detail: RequestDetail) {
         self.requests.get_or_create(&RequestLabels { outcome, detail }).inc();
     }
 
-    /// Notes the time from a request's head to the end of its answer.
+    /// Records the time from a request's head to the end of its response.
     pub fn request_time(&self, seconds: f64) {
         self.request_seconds.observe(seconds);
     }
 
-    /// Counts an exchange that broke off after the head of its answer.
+    /// Counts an exchange that was truncated after the head of its response.
     pub fn cut(&self, reason: &'static str) {
         self.cuts.get_or_create(&CutLabels { reason }).inc();
     }
 
-    /// Counts an attempt of the outbound half.
+    /// Counts an attempt sent by the outbound proxy.
     pub fn attempt(&self) {
         self.attempts.inc();
     }
 
-    /// Notes that an attempt took `ratio` times as long as expected, mostly because of `cause`.
+    /// Records that an attempt took `ratio` times as long as expected, mainly because of `cause`.
     pub fn answer_expected(&self, cause: DelayCause, ratio: f64) {
-        self.expected_ratios.get_or_create(&CauseLabels { cause: cause.name() }).observe(ratio);
+        self.response_time_ratios.get_or_create(&CauseLabels { cause: cause.name() }).observe(ratio);
     }
 
-    /// Counts a figure by which the back end told how slow it is.
+    /// Counts a slowdown value reported by the back end.
     pub fn slowdown_word(&self, is_valid: bool) {
         let outcome = if is_valid { "taken" } else { "invalid" };
-        self.slowdown_words.get_or_create(&WordLabels { outcome }).inc();
+        self.reported_slowdowns.get_or_create(&SlowdownLabels { outcome }).inc();
     }
 
-    /// Sets the version that has reached `stage`.
+    /// Sets the newest version at `stage`.
     pub fn set_version(&self, stage: VersionStage, version: umberpond_model::Version) {
         let value = i64::try_from(version.0).unwrap_or(i64::MAX);
         self.versions.get_or_create(&StageLabels { stage: stage.name() }).set(value);
     }
 
-    /// Tells whether the node holds `role`.
+    /// Sets whether the node holds `role`.
     pub fn set_role(&self, role: &'static str, held: bool) {
         self.roles.get_or_create(&RoleLabels { role }).set(i64::from(held));
     }
@@ -433,11 +433,12 @@
         self.evacuated_zones.set(i64::try_from(count).unwrap_or(i64::MAX));
     }
 
-    /// Sets how many tenants compete for the slots, and the parts in thousandths of those that took most, the greatest first.
+    /// Sets how many tenants compete for the slots, and the shares of the top tenants in thousandths, largest
+    /// first.
     pub fn set_tenant_uses(&self, tenants: usize, greatest: &[u16]) {
         self.sharing_tenants.set(i64::try_from(tenants).unwrap_or(i64::MAX));
-        let mut rest = if greatest.is_empty() { 0 } else { WHOLE_PERMILLE };
-        for (index, place) in TENANT_PLACES.into_iter().enumerate() {
+        let mut rest = if greatest.is_empty() { 0 } else { FULL_PERMILLE };
+        for (index, place) in TENANT_RANK_LABELS.into_iter().enumerate() {
             let part = greatest.get(index).copied().map_or(0, i64::from);
             rest -= part;
             self.tenant_uses.get_or_create(&TenantLabels { place }).set(part);
@@ -445,12 +446,12 @@
         self.tenant_uses.get_or_create(&TenantLabels { place: "rest" }).set(rest.max(0));
     }
 
-    /// Counts a refused request whose tenant was above its share.
+    /// Counts a request refused because its tenant was over its share.
     pub fn over_share(&self, reason: &'static str) {
         self.over_share.get_or_create(&OverShareLabels { reason }).inc();
     }
 
-    /// Tells whether the node is ready.
+    /// Sets whether the node is ready.
     pub fn set_ready(&self, ready: bool) {
         self.ready.set(i64::from(ready));
     }
@@ -459,7 +460,7 @@
     #[must_use]
     pub fn encode(&self) -> String {
         let mut page = String::new();
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         let _ = text::encode(&mut page, &self.registry);
         page
     }
--- a/crates/telemetry/src/output.rs
+++ b/crates/telemetry/src/output.rs
@@ -1,4 +1,5 @@
-//! Log lines on standard output, through a bounded buffer and a thread of its own: telling an event never blocks.
+//! Log output through a bounded buffer and a dedicated writer thread, so that emitting an event never waits
+//! for standard output.
 
 use std::fmt;
 use std::io::Write;
@@ -13,94 +14,94 @@
 use logforth::record::Record;
 use parking_lot::{Condvar, Mutex};
 
-/// Bytes that wait to be written at most; lines beyond that are dropped and counted.
-const MAX_WAITING_BYTES: usize = 512 * 1024;
-/// Time in which lines are collected, so that a line does not cost a system call each.
-const COLLECTING_TIME: Duration = Duration::from_millis(20);
-/// Longest wait for the last lines at the end of the process.
-const FLUSH_TIME: Duration = Duration::from_millis(300);
+/// Capacity of the buffer in bytes; lines beyond it are dropped and counted.
+const MAX_PENDING_BYTES: usize = 512 * 1024;
+/// Time during which lines are batched, to avoid a system call per line.
+const BATCHING_TIME: Duration = Duration::from_millis(20);
+/// Timeout of each wait for the writer thread in [`Output::flush`].
+const FLUSH_TIMEOUT: Duration = Duration::from_millis(300);
 
 #[derive(Debug, Default)]
-struct Waiting {
+struct PendingLines {
     bytes: Vec<u8>,
     dropped: u64,
     is_writing: bool,
 }
 
-/// Lines on their way to standard output.
+/// Buffer between the logger and the thread that writes to standard output.
 #[derive(Debug, Default)]
 pub(crate) struct Output {
-    waiting: Mutex<Waiting>,
+    pending: Mutex<PendingLines>,
     changed: Condvar,
 }
 
 impl Output {
-    /// Starts the thread that writes.
+    /// Creates the buffer and starts the writer thread.
     pub(crate) fn start() -> Arc<Self> {
         let output = Arc::new(Self::default());
         let writer = Arc::clone(&output);
-        // Without the thread lines are collected up to the bound and then dropped.
-        let _ = thread::Builder::new().name("log".to_owned()).spawn(move || writer.write_without_end());
+        // If the thread can't be started, lines are buffered up to the capacity and then dropped.
+        let _ = thread::Builder::new().name("log".to_owned()).spawn(move || writer.write_loop());
         output
     }
 
     fn push(&self, line: &[u8]) {
-        let mut waiting = self.waiting.lock();
-        if waiting.bytes.len() + line.len() > MAX_WAITING_BYTES {
-            waiting.dropped += 1;
+        let mut pending = self.pending.lock();
+        if pending.bytes.len() + line.len() > MAX_PENDING_BYTES {
+            pending.dropped += 1;
             return;
         }
-        let was_empty = waiting.bytes.is_empty();
-        waiting.bytes.extend_from_slice(line);
-        waiting.bytes.push(b'\n');
+        let was_empty = pending.bytes.is_empty();
+        pending.bytes.extend_from_slice(line);
+        pending.bytes.push(b'\n');
         if was_empty {
             self.changed.notify_all();
         }
     }
 
-    fn write_without_end(&self) {
+    fn write_loop(&self) {
         loop {
-            self.wait_for_lines();
-            thread::sleep(COLLECTING_TIME);
+            self.wait_for_pending_lines();
+            thread::sleep(BATCHING_TIME);
             let (bytes, dropped) = self.take();
             let mut standard_output = std::io::stdout().lock();
-            // Nobody may be reading; there is nowhere else to tell it.
+            // Standard output may be closed; there is no other place to report the error.
             let _ = standard_output.write_all(&bytes);
             if dropped > 0 {
                 let _ = writeln!(standard_output, "{{\"level\":\"WARN\",\"dropped_lines\":{dropped}}}");
             }
             let _ = standard_output.flush();
             drop(standard_output);
-            self.waiting.lock().is_writing = false;
+            self.pending.lock().is_writing = false;
             self.changed.notify_all();
         }
     }
 
-    fn wait_for_lines(&self) {
-        let mut waiting = self.waiting.lock();
-        while waiting.bytes.is_empty() {
-            self.changed.wait(&mut waiting);
+    fn wait_for_pending_lines(&self) {
+        let mut pending = self.pending.lock();
+        while pending.bytes.is_empty() {
+            self.changed.wait(&mut pending);
         }
     }
 
     fn take(&self) -> (Vec<u8>, u64) {
-        let mut waiting = self.waiting.lock();
-        waiting.is_writing = true;
-        (std::mem::take(&mut waiting.bytes), std::mem::take(&mut waiting.dropped))
+        let mut pending = self.pending.lock();
+        pending.is_writing = true;
+        (std::mem::take(&mut pending.bytes), std::mem::take(&mut pending.dropped))
     }
 
-    /// Waits until what was told has been written, at most [`FLUSH_TIME`].
+    /// Waits until the buffered lines are written, or nothing is written within [`FLUSH_TIMEOUT`].
     pub(crate) fn flush(&self) {
-        let mut waiting = self.waiting.lock();
-        while !waiting.bytes.is_empty() || waiting.is_writing {
-            if self.changed.wait_for(&mut waiting, FLUSH_TIME).timed_out() {
+        let mut pending = self.pending.lock();
+        while !pending.bytes.is_empty() || pending.is_writing {
+            if self.changed.wait_for(&mut pending, FLUSH_TIMEOUT).timed_out() {
                 return;
             }
         }
     }
 }
 
-/// The appender of `logforth` in front of an [`Output`].
+/// `logforth` appender that writes to an [`Output`].
 pub(crate) struct OutputAppend {
     output: Arc<Output>,
     layout: Box<dyn Layout>,
--- a/crates/telemetry/src/page.rs
+++ b/crates/telemetry/src/page.rs
@@ -1,4 +1,4 @@
-//! The page `docs/EVENTS.md`, made from the catalogue.
+//! Generates `docs/EVENTS.md` from the catalogue.
 
 use std::fmt::Write;
 
@@ -8,8 +8,8 @@
 
 Generated from the catalogue in `crates/telemetry/src/catalogue/mod.rs` by
 `cargo run -p umberpond-telemetry --example events_page > docs/EVENTS.md`; a test compares the two.
-A number is never used again for another event. In JSON logs the number stands in `kvs.event`, the short name
-in `kvs.name`, and each field under its own name.
+A number is never reused for another event. In JSON logs, `kvs.event` holds the number, `kvs.name` the short name,
+and each field is a key of its own in `kvs`.
 ";
 
 const RANGES: &[(u16, &str)] =
@@ -17,7 +17,7 @@
 
 const NUMBERS_PER_RANGE: u16 = 1_000;
 
-/// The text of `docs/EVENTS.md`.
+/// Returns the text of `docs/EVENTS.md`.
 #[must_use]
 pub fn catalogue_page() -> String {
     let mut page = String::from(HEADER);
@@ -34,7 +34,7 @@
     let entries = Event::CATALOGUE.iter().filter(|entry| entry.number / NUMBERS_PER_RANGE == range);
     for entry in entries {
         let fields = entry.fields.iter().map(|field| format!("`{field}`")).collect::<Vec<_>>().join(", ");
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         let _ = writeln!(
             section,
             "| {} | {} | `{}` | {fields} | {} |",
--- a/crates/telemetry/src/telemetry.rs
+++ b/crates/telemetry/src/telemetry.rs
@@ -1,4 +1,4 @@
-//! The handle through which every part of a node tells events and counts.
+//! Handle through which all parts of a node emit events and update metrics.
 
 use std::panic::Location;
 use std::sync::Arc;
@@ -9,26 +9,26 @@
 use parking_lot::Mutex;
 
 use crate::output::Output;
-use crate::rate::{RateLimit, Verdict};
+use crate::rate::{Decision, RateLimit};
 use crate::{Event, LogFormat, Metrics, Severity, logging};
 
-/// Of so many ordinary events one is logged.
-const SAMPLED: u64 = 64;
+/// One of this many sampled events is logged.
+const SAMPLING_INTERVAL: u64 = 64;
 
-/// Sees every event of one node, whatever its severity.
+/// Receives every event of one node, regardless of severity.
 pub trait EventObserver: Send + Sync + 'static {
-    /// Called once an event, in the order in which the events were told.
+    /// Called once per event, in the order in which the events were emitted.
     fn observe(&self, event: &Event);
 }
 
-/// Keeps every event in memory; for tests and the simulation.
+/// Records all events in memory, for tests and the simulation.
 #[derive(Debug, Default)]
 pub struct MemoryRecorder {
     events: Mutex<Vec<Event>>,
 }
 
 impl MemoryRecorder {
-    /// The events so far, oldest first.
+    /// Events recorded so far, oldest first.
     #[must_use]
     pub fn events(&self) -> Vec<Event> {
         self.events.lock().clone()
@@ -41,7 +41,7 @@
     }
 }
 
-/// Events and metrics of one node. Cheap to copy; there is no global state behind it.
+/// Events and metrics of one node. Cheap to clone; uses no global state.
 #[derive(Clone)]
 pub struct Telemetry {
     inner: Arc<Inner>,
@@ -49,10 +49,10 @@
 
 struct Inner {
     log: Option<Log>,
-    least: Severity,
+    min_severity: Severity,
     observer: Option<Arc<dyn EventObserver>>,
     metrics: Metrics,
-    sampled: AtomicU64,
+    sampled_count: AtomicU64,
 }
 
 /// The log on standard output.
@@ -63,86 +63,89 @@
 }
 
 impl Log {
-    fn tell(&self, event: &Event, location: &'static Location<'static>) {
-        let verdict = self.rate.lock().take(Instant::now(), event.number());
-        let Verdict::Tell { suppressed } = verdict else { return };
+    fn write(&self, event: &Event, location: &'static Location<'static>) {
+        let decision = self.rate.lock().take(Instant::now(), event.number());
+        let Decision::Allow { suppressed } = decision else { return };
         if suppressed > 0 {
-            let told = Event::LinesSuppressed { kind: event.number(), count: suppressed };
-            logging::log(&self.logger, &told, location);
+            let suppression = Event::LinesSuppressed { kind: event.number(), count: suppressed };
+            logging::log(&self.logger, &suppression, location);
         }
         logging::log(&self.logger, event, location);
     }
 }
 
 impl Telemetry {
-    /// Events go to standard output, from severity `least` on.
+    /// Logs events to standard output, from severity `min_severity` up.
     #[must_use]
-    pub fn to_log(format: LogFormat, least: Severity) -> Self {
-        let (logger, output) = logging::logger(format, least);
-        Self::new(Some(Log { logger, output, rate: Mutex::default() }), least, None)
+    pub fn to_log(format: LogFormat, min_severity: Severity) -> Self {
+        let (logger, output) = logging::logger(format, min_severity);
+        Self::new(Some(Log { logger, output, rate: Mutex::default() }), min_severity, None)
     }
 
-    /// Events go to `observer` and nowhere else.
+    /// Passes events to `observer` only.
     #[must_use]
     pub fn to_observer(observer: Arc<dyn EventObserver>) -> Self {
         Self::new(None, Severity::Debug, Some(observer))
     }
 
-    /// Events are dropped; metrics are kept.
+    /// Drops events and keeps only metrics.
     #[must_use]
     pub fn silent() -> Self {
         Self::new(None, Severity::Error, None)
     }
 
-    fn new(log: Option<Log>, least: Severity, observer: Option<Arc<dyn EventObserver>>) -> Self {
+    fn new(log: Option<Log>, min_severity: Severity, observer: Option<Arc<dyn EventObserver>>) -> Self {
         Self {
             inner: Arc::new(Inner {
                 log,
-                least,
+                min_severity,
                 observer,
                 metrics: Metrics::default(),
-                sampled: AtomicU64::new(0),
+                sampled_count: AtomicU64::new(0),
             }),
         }
     }
 
-    /// Whether anybody sees events of this severity. Saves the request path the making of events that nobody sees.
+    /// Whether events of this severity are logged or observed. Lets the request path skip building events
+    /// that would be dropped.
     #[must_use]
     pub fn is_enabled(&self, severity: Severity) -> bool {
-        let is_logged = self.inner.log.is_some() && severity >= self.inner.least;
+        let is_logged = self.inner.log.is_some() && severity >= self.inner.min_severity;
         is_logged || self.inner.observer.is_some()
     }
 
-    /// Tells `event`.
+    /// Emits `event`.
     #[track_caller]
     pub fn emit(&self, event: Event) {
         if let Some(log) = &self.inner.log
-            && event.severity() >= self.inner.least
+            && event.severity() >= self.inner.min_severity
         {
-            log.tell(&event, Location::caller());
+            log.write(&event, Location::caller());
         }
         if let Some(observer) = &self.inner.observer {
             observer.observe(&event);
         }
     }
 
-    /// Tells one of so many events; the others are not even made.
+    /// Emits every 64th event, or each one if there is an observer; the others are not built.
     #[track_caller]
     pub fn emit_sampled(&self, event: impl FnOnce() -> Event) {
-        let count = self.inner.sampled.fetch_add(1, Ordering::Relaxed);
-        if self.inner.observer.is_some() || (self.inner.log.is_some() && count.is_multiple_of(SAMPLED)) {
+        let count = self.inner.sampled_count.fetch_add(1, Ordering::Relaxed);
+        if self.inner.observer.is_some()
+            || (self.inner.log.is_some() && count.is_multiple_of(SAMPLING_INTERVAL))
+        {
             self.emit(event());
         }
     }
 
-    /// Waits a short time until what was told is written. Call it at the end of the process.
+    /// Waits a short time until the emitted events are written. Call it before the process exits.
     pub fn flush(&self) {
         if let Some(log) = &self.inner.log {
             log.output.flush();
         }
     }
 
-    /// The node's metrics.
+    /// Metrics of the node.
     #[must_use]
     pub fn metrics(&self) -> &Metrics {
         &self.inner.metrics
--- a/crates/telemetry/tests/alerts.rs
+++ b/crates/telemetry/tests/alerts.rs
@@ -1,4 +1,4 @@
-//! The alerts page and the dashboard name only metrics that exist.
+//! Guards against alerts and dashboard panels that refer to metrics that don't exist.
 
 use std::collections::BTreeSet;
 use std::path::Path;
@@ -13,13 +13,13 @@
     std::fs::read_to_string(path).unwrap()
 }
 
-/// Words of `text` that begin as the names of metrics do.
+/// Words of `text` that have the prefix of metric names.
 fn names_in(text: &str) -> BTreeSet<String> {
     let words = text.split(|sign: char| !(sign.is_ascii_alphanumeric() || sign == '_'));
     words.filter(|word| word.starts_with(PREFIX)).map(str::to_owned).collect()
 }
 
-/// Every name on the page of a node that has counted one of each.
+/// Names of all metrics of a node that has recorded each of them at least once.
 fn existing() -> BTreeSet<String> {
     let telemetry = Telemetry::silent();
     let metrics = telemetry.metrics();
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn the_dashboard_asks_something_in_every_panel() {
+fn every_dashboard_panel_has_a_query() {
     let dashboard: serde_json::Value = serde_json::from_str(&file("dashboards/umberpond.json")).unwrap();
     let panels = dashboard["panels"].as_array().unwrap();
     assert!(panels.len() >= 10);
--- a/crates/telemetry/tests/catalogue.rs
+++ b/crates/telemetry/tests/catalogue.rs
@@ -1,4 +1,4 @@
-//! The catalogue is in order, and its page is the one in the documentation.
+//! Guards against duplicate event numbers and names, and against an outdated `docs/EVENTS.md`.
 
 use std::collections::BTreeSet;
 use std::fs;
@@ -10,7 +10,11 @@
 fn documentation_equals_catalogue() {
     let path = Path::new(env!("CARGO_MANIFEST_DIR")).join("../../docs/EVENTS.md");
     let documented = fs::read_to_string(path).expect("docs/EVENTS.md can be read");
-    assert_eq!(documented, catalogue_page(), "write docs/EVENTS.md anew, see its first lines");
+    assert_eq!(
+        documented,
+        catalogue_page(),
+        "docs/EVENTS.md is outdated; its first lines show how to regenerate it"
+    );
 }
 
 #[test]
--- a/crates/telemetry/tests/telemetry.rs
+++ b/crates/telemetry/tests/telemetry.rs
@@ -1,4 +1,4 @@
-//! Events reach the observer, metrics reach the page.
+//! Tests that events reach the observer and metrics reach the Prometheus page.
 
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn page_holds_what_was_counted() {
+fn metrics_page_contains_recorded_values() {
     let telemetry = Telemetry::silent();
     let metrics = telemetry.metrics();
     metrics.control(Direction::Out, "delta", 100);
