--- a/crates/http1/src/body.rs
+++ b/crates/http1/src/body.rs
@@ -1,50 +1,50 @@
-//! Takes a body out of a buffer, part by part.
+//! Incremental decoder of message bodies.
 
 use bytes::{Buf, Bytes, BytesMut};
 
 use crate::error::BodyError;
 use crate::framing::Framing;
 
-/// Longest chunk head or trailer line accepted, in bytes.
+/// Longest accepted chunk header or trailer line, in bytes.
 const MAX_CHUNK_LINE: usize = 4096;
 
-/// What the decoder found in the buffer.
+/// Result of a decoding step.
 pub(crate) enum Decoded {
     /// A part of the body, never empty.
     Part(Bytes),
-    /// The body has come to its proper end.
+    /// The body is complete.
     End,
     /// More bytes are needed.
     NeedsMore,
 }
 
-/// Position inside one body.
+/// Decoder state: the position inside a body.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Position {
-    /// So many bytes are left.
+    /// Inside a body of known length; the number of bytes left.
     Counted(u64),
-    /// Before the head of a chunk.
+    /// Before the header of a chunk.
     ChunkHead,
-    /// So many bytes of the chunk are left.
+    /// Inside the data of a chunk; the number of bytes left.
     ChunkData(u64),
-    /// Before the line end that follows a chunk's data.
+    /// Before the CRLF after the data of a chunk.
     ChunkEnd,
-    /// Inside the trailer.
+    /// Inside the trailer section.
     Trailer,
-    /// Everything up to the end of the connection.
+    /// Inside a body that extends to the end of the connection.
     UntilClose,
-    /// The body has ended.
+    /// The body is complete.
     Done,
 }
 
-/// Finds the end of one body.
+/// Decodes one body and detects its end.
 #[derive(Debug, Clone)]
 pub struct BodyDecoder {
     position: Position,
 }
 
 impl BodyDecoder {
-    /// A decoder at the start of a body.
+    /// Creates a decoder at the start of a body.
     #[must_use]
     pub const fn new(framing: Framing) -> Self {
         let position = match framing {
@@ -56,13 +56,13 @@
         Self { position }
     }
 
-    /// Whether the body has come to its proper end.
+    /// Whether the body is complete.
     #[must_use]
     pub fn is_done(&self) -> bool {
         self.position == Position::Done
     }
 
-    /// Takes the next part out of `buffer`.
+    /// Takes the next part of the body out of `buffer`.
     pub(crate) fn decode(&mut self, buffer: &mut BytesMut) -> Result<Decoded, BodyError> {
         loop {
             match self.position {
@@ -79,17 +79,17 @@
                     self.position = if left == 0 { Position::ChunkEnd } else { Position::ChunkData(left) };
                     return Ok(Decoded::Part(part));
                 }
-                Position::ChunkHead => match chunk_head(buffer)? {
+                Position::ChunkHead => match take_chunk_header(buffer)? {
                     None => return Ok(Decoded::NeedsMore),
                     Some(0) => self.position = Position::Trailer,
                     Some(length) => self.position = Position::ChunkData(length),
                 },
-                Position::ChunkEnd => match line(buffer)? {
+                Position::ChunkEnd => match take_line(buffer)? {
                     None => return Ok(Decoded::NeedsMore),
                     Some(line) if line.is_empty() => self.position = Position::ChunkHead,
                     Some(_) => return Err(BodyError::Malformed),
                 },
-                Position::Trailer => match line(buffer)? {
+                Position::Trailer => match take_line(buffer)? {
                     None => return Ok(Decoded::NeedsMore),
                     Some(line) if line.is_empty() => self.position = Position::Done,
                     Some(_trailer_field) => {}
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Takes in that the connection has ended cleanly.
+    /// Handles a clean end of the connection.
     pub(crate) fn on_connection_end(&mut self) -> Result<(), BodyError> {
         match self.position {
             Position::UntilClose | Position::Done => {
@@ -110,7 +110,8 @@
     }
 }
 
-/// At most `left` bytes of the buffer and how many are left then; nothing if the buffer is empty.
+/// Takes at most `left` bytes out of the buffer and returns them with the number still left; `None` if the
+/// buffer is empty.
 fn take(buffer: &mut BytesMut, left: u64) -> Option<(Bytes, u64)> {
     if buffer.is_empty() {
         return None;
@@ -120,8 +121,8 @@
     Some((part, left - length as u64))
 }
 
-/// Length of the next chunk, once its whole head has arrived.
-fn chunk_head(buffer: &mut BytesMut) -> Result<Option<u64>, BodyError> {
+/// Takes a chunk header and returns the chunk's length; `None` until the header is complete.
+fn take_chunk_header(buffer: &mut BytesMut) -> Result<Option<u64>, BodyError> {
     match httparse::parse_chunk_size(buffer) {
         Ok(httparse::Status::Complete((head, length))) => {
             buffer.advance(head);
@@ -132,8 +133,8 @@
     }
 }
 
-/// The next line without its end, once it has arrived.
-fn line(buffer: &mut BytesMut) -> Result<Option<Bytes>, BodyError> {
+/// Takes the next line and returns it without CRLF; `None` until the line is complete.
+fn take_line(buffer: &mut BytesMut) -> Result<Option<Bytes>, BodyError> {
     let Some(end) = memchr::memchr(b'\n', buffer) else {
         return if buffer.len() <= MAX_CHUNK_LINE { Ok(None) } else { Err(BodyError::Malformed) };
     };
--- a/crates/http1/src/encode.rs
+++ b/crates/http1/src/encode.rs
@@ -1,4 +1,4 @@
-//! Writes heads and chunks into a buffer.
+//! Encodes heads and chunks into a buffer.
 
 use bytes::{BufMut, BytesMut};
 
@@ -6,7 +6,7 @@
 use crate::framing::Framing;
 use crate::head::reason_phrase;
 
-/// Writes the head of a request whose body is framed as `framing`. `fields` hold no framing of their own.
+/// Writes the head of a request whose body has `framing`. `fields` must not contain framing fields.
 pub fn write_request_head(
     buffer: &mut BytesMut,
     method: &[u8],
@@ -26,7 +26,7 @@
     buffer.put_slice(b"\r\n");
 }
 
-/// Writes the head of an answer whose body is framed as `framing`. `fields` hold no framing of their own.
+/// Writes the head of a response whose body has `framing`. `fields` must not contain framing fields.
 pub fn write_response_head(buffer: &mut BytesMut, status: u16, fields: &Fields, framing: Framing) {
     buffer.put_slice(b"HTTP/1.1 ");
     buffer.put_slice(itoa::Buffer::new().format(status).as_bytes());
@@ -61,7 +61,7 @@
     }
 }
 
-/// Writes one chunk. An empty part writes nothing, since an empty chunk would end the body.
+/// Writes one chunk. Writes nothing for an empty part, since an empty chunk would end the body.
 pub fn write_chunk(buffer: &mut BytesMut, part: &[u8]) {
     if part.is_empty() {
         return;
@@ -71,7 +71,7 @@
     buffer.put_slice(b"\r\n");
 }
 
-/// Writes the end of a chunked body.
+/// Writes the last chunk of a chunked body and an empty trailer section.
 pub fn write_last_chunk(buffer: &mut BytesMut) {
     buffer.put_slice(b"0\r\n\r\n");
 }
--- a/crates/http1/src/error.rs
+++ b/crates/http1/src/error.rs
@@ -1,4 +1,4 @@
-//! What can go wrong while a message is read.
+//! Errors of reading a message.
 
 use std::io;
 
@@ -7,16 +7,16 @@
 /// A head that could not be read.
 #[derive(Debug, Error)]
 pub enum HeadError {
-    /// The bytes are no HTTP/1 head.
-    #[error("the bytes are no HTTP/1 head")]
+    /// The bytes are not a valid HTTP/1 head.
+    #[error("the bytes are not a valid HTTP/1 head")]
     Malformed,
-    /// The head is longer than the limit, or has too many fields.
-    #[error("the head is over the limit")]
+    /// The head exceeds the size limit or has too many fields.
+    #[error("the head exceeds the limit")]
     TooLarge,
-    /// The head did not arrive in time after its first byte.
+    /// The head was not complete within the time limit after its first byte.
     #[error("the head did not arrive in time")]
     TooSlow,
-    /// The peer ended the connection inside a head.
+    /// The peer closed the connection inside a head.
     #[error("the connection ended inside a head")]
     Truncated,
     /// The transport failed.
@@ -24,13 +24,13 @@
     Transport(#[from] io::Error),
 }
 
-/// A body that did not come to its proper end.
+/// A body that could not be read completely.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// The chunks are malformed.
+    /// The chunked coding is malformed.
     #[error("the chunked body is malformed")]
     Malformed,
-    /// The peer ended the connection inside the body.
+    /// The peer closed the connection inside the body.
     #[error("the connection ended inside a body")]
     Truncated,
     /// The transport failed.
--- a/crates/http1/src/fields.rs
+++ b/crates/http1/src/fields.rs
@@ -1,8 +1,8 @@
-//! Header fields as they came, in order and without change of case.
+//! Header fields in the order and the case in which they were received.
 
 use bytes::Bytes;
 
-/// Fields that concern one connection only (RFC 9110, section 7.6.1); a proxy never passes them on.
+/// Hop-by-hop fields (RFC 9110, section 7.6.1); a proxy never forwards them.
 const CONNECTION_FIELDS: [&str; 8] = [
     "connection",
     "keep-alive",
@@ -17,13 +17,13 @@
 /// One header field.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Field {
-    /// Name, in the case in which it came.
+    /// Name, in the case in which it was received.
     pub name: Bytes,
-    /// Value without surrounding blanks.
+    /// Value without surrounding whitespace.
     pub value: Bytes,
 }
 
-/// The header fields of one message. Names are compared without regard to case.
+/// The header fields of one message. Names are compared case-insensitively.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Fields {
     fields: Vec<Field>,
@@ -36,7 +36,7 @@
         self.fields.iter().find(|field| is_named(field, name)).map(|field| &field.value)
     }
 
-    /// Value of the first field called `name`, if it is text.
+    /// Value of the first field called `name`, if it is valid UTF-8.
     #[must_use]
     pub fn text(&self, name: &str) -> Option<&str> {
         self.get(name).and_then(|value| std::str::from_utf8(value).ok())
@@ -63,7 +63,7 @@
         self.fields.retain(|field| !is_named(field, name));
     }
 
-    /// Puts one field in the place of all fields called `name`.
+    /// Replaces all fields called `name` by a single one.
     pub fn set(&mut self, name: &'static str, value: impl Into<Bytes>) {
         self.remove(name);
         self.push(name, value);
@@ -74,7 +74,7 @@
         self.fields.iter()
     }
 
-    /// Count of fields.
+    /// Number of fields.
     #[must_use]
     pub fn len(&self) -> usize {
         self.fields.len()
@@ -94,8 +94,8 @@
             .any(|listed| listed.trim_ascii().eq_ignore_ascii_case(option.as_bytes()))
     }
 
-    /// Removes the fields that concern one connection only: the well-known ones, those that `Connection` lists, and
-    /// the framing by `Content-Length`, which each side of a proxy writes anew.
+    /// Removes the hop-by-hop fields: the well-known ones, those that `Connection` lists, and
+    /// `Content-Length`, since a proxy writes the framing of each connection itself.
     pub fn remove_connection_fields(&mut self) {
         let listed: Vec<Bytes> = self.get_all("connection").cloned().collect();
         let is_listed = |field: &Field| {
--- a/crates/http1/src/framing.rs
+++ b/crates/http1/src/framing.rs
@@ -1,36 +1,37 @@
-//! How long a body is (RFC 9112, section 6).
+//! Length of message bodies (RFC 9112, section 6).
 
 use thiserror::Error;
 
 use crate::fields::Fields;
 use crate::head::{RequestHead, ResponseHead};
 
-/// How the end of a body is found.
+/// How the end of a body is determined.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Framing {
-    /// So many bytes.
+    /// A body of this number of bytes.
     Length(u64),
-    /// Chunks, the last of them empty.
+    /// The chunked transfer coding.
     Chunked,
-    /// Everything up to the end of the connection.
+    /// The body extends to the end of the connection.
     UntilClose,
 }
 
 impl Framing {
-    /// Whether there is no body at all.
+    /// Whether there is no body.
     #[must_use]
     pub const fn is_empty(self) -> bool {
         matches!(self, Self::Length(0))
     }
 }
 
-/// A head whose body length can't be trusted: two readers could disagree about it, which is how requests are smuggled.
+/// A head with an ambiguous body length, about which two parsers could disagree; that enables request
+/// smuggling.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum FramingError {
-    /// The length is no number, or there are several that differ.
-    #[error("the content length is no single number")]
+    /// The content length is not a number, or there are several different ones.
+    #[error("the content length is not a single number")]
     InvalidLength,
-    /// Both a length and a transfer coding are given.
+    /// Both a content length and a transfer coding are given.
     #[error("both a content length and a transfer coding are given")]
     LengthAndCoding,
     /// A transfer coding other than `chunked`.
@@ -38,29 +39,29 @@
     UnknownCoding,
 }
 
-/// Framing of a request's body.
+/// Returns the framing of a request's body.
 ///
 /// # Errors
-/// Returns [`FramingError`] when the length can't be trusted.
+/// Returns [`FramingError`] if the length is ambiguous or the transfer coding is unknown.
 pub fn request_framing(head: &RequestHead) -> Result<Framing, FramingError> {
-    let framing = declared(&head.fields)?;
+    let framing = declared_framing(&head.fields)?;
     Ok(framing.unwrap_or(Framing::Length(0)))
 }
 
-/// Framing of the body of an answer to a request with `method`.
+/// Returns the framing of the body of a response to a request with `method`.
 ///
 /// # Errors
-/// Returns [`FramingError`] when the length can't be trusted.
+/// Returns [`FramingError`] if the length is ambiguous or the transfer coding is unknown.
 pub fn response_framing(head: &ResponseHead, method: &[u8]) -> Result<Framing, FramingError> {
     let has_no_body = method == b"HEAD" || matches!(head.status, 100..=199 | 204 | 304);
     if has_no_body {
         return Ok(Framing::Length(0));
     }
-    let framing = declared(&head.fields)?;
+    let framing = declared_framing(&head.fields)?;
     Ok(framing.unwrap_or(Framing::UntilClose))
 }
 
-fn declared(fields: &Fields) -> Result<Option<Framing>, FramingError> {
+fn declared_framing(fields: &Fields) -> Result<Option<Framing>, FramingError> {
     let length = content_length(fields)?;
     if !fields.contains("transfer-encoding") {
         return Ok(length.map(Framing::Length));
@@ -89,7 +90,7 @@
     Ok(found)
 }
 
-/// Digits only: signs, blanks and lists are refused.
+/// Accepts digits only: signs, whitespace and lists are rejected.
 fn parse_length(value: &[u8]) -> Result<u64, FramingError> {
     let is_number = !value.is_empty() && value.iter().all(u8::is_ascii_digit);
     let text = std::str::from_utf8(value).ok().filter(|_| is_number);
--- a/crates/http1/src/head.rs
+++ b/crates/http1/src/head.rs
@@ -1,17 +1,17 @@
-//! Heads of requests and answers.
+//! Heads of requests and responses.
 
 use bytes::Bytes;
 
 use crate::error::HeadError;
 use crate::fields::{Field, Fields};
 
-/// Most header fields of one message.
+/// Maximum number of header fields of one message.
 const MAX_FIELDS: usize = 100;
 
-/// Version of a message.
+/// HTTP version of a message.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum HttpVersion {
-    /// HTTP/1.0: one message a connection unless said otherwise.
+    /// HTTP/1.0: connections are not persistent by default.
     Http10,
     /// HTTP/1.1.
     Http11,
@@ -31,7 +31,7 @@
 pub struct RequestHead {
     /// Method.
     pub method: Bytes,
-    /// Request target, as it came.
+    /// Request target, as it was received.
     pub target: Bytes,
     /// Version.
     pub version: HttpVersion,
@@ -39,7 +39,7 @@
     pub fields: Fields,
 }
 
-/// Head of an answer.
+/// Head of a response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ResponseHead {
     /// Status code.
@@ -50,12 +50,13 @@
     pub fields: Fields,
 }
 
-/// What a parser made of the bytes so far: a head and its length in bytes, or nothing yet.
+/// Result of parsing the bytes received so far: a head and its length in bytes, or `None` if the head is
+/// incomplete.
 pub(crate) type Parsed<T> = Result<Option<(T, usize)>, HeadError>;
 
 /// A head that can be parsed from the start of a buffer.
 pub(crate) trait Head: Sized {
-    /// Parses `bytes`; tells the head and its length once it is whole.
+    /// Parses `bytes`; returns the head and its length once it is complete.
     fn parse(bytes: &[u8]) -> Parsed<Self>;
 }
 
@@ -64,12 +65,12 @@
         let mut slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut request = httparse::Request::new(&mut slots);
         let Some(length) = parsed_length(request.parse(bytes))? else { return Ok(None) };
-        let kept = Kept::new(bytes, length);
+        let shared = SharedBytes::new(bytes, length);
         let head = Self {
-            method: kept.slice(request.method.unwrap_or_default().as_bytes()),
-            target: kept.slice(request.path.unwrap_or_default().as_bytes()),
+            method: shared.slice(request.method.unwrap_or_default().as_bytes()),
+            target: shared.slice(request.path.unwrap_or_default().as_bytes()),
             version: HttpVersion::of(request.version),
-            fields: kept.fields(request.headers),
+            fields: shared.fields(request.headers),
         };
         Ok(Some((head, length)))
     }
@@ -80,11 +81,11 @@
         let mut slots = [httparse::EMPTY_HEADER; MAX_FIELDS];
         let mut response = httparse::Response::new(&mut slots);
         let Some(length) = parsed_length(response.parse(bytes))? else { return Ok(None) };
-        let kept = Kept::new(bytes, length);
+        let shared = SharedBytes::new(bytes, length);
         let head = Self {
             status: response.code.unwrap_or_default(),
             version: HttpVersion::of(response.version),
-            fields: kept.fields(response.headers),
+            fields: shared.fields(response.headers),
         };
         Ok(Some((head, length)))
     }
@@ -99,19 +100,19 @@
     }
 }
 
-/// One shared copy of a head's bytes, of which method, target and fields are slices.
-struct Kept<'a> {
+/// A shared copy of a head's bytes; method, target and fields are slices of it.
+struct SharedBytes<'a> {
     original: &'a [u8],
     copy: Bytes,
 }
 
-impl<'a> Kept<'a> {
+impl<'a> SharedBytes<'a> {
     fn new(bytes: &'a [u8], length: usize) -> Self {
         let original = &bytes[..length];
         Self { original, copy: Bytes::copy_from_slice(original) }
     }
 
-    /// The copy of `part`, which lies inside the original.
+    /// Returns the slice of the copy that corresponds to `part`, a slice of the original.
     fn slice(&self, part: &[u8]) -> Bytes {
         let start = (part.as_ptr() as usize).wrapping_sub(self.original.as_ptr() as usize);
         match start.checked_add(part.len()) {
@@ -131,7 +132,7 @@
     }
 }
 
-/// The usual phrase of a status code; empty where there is none.
+/// Standard reason phrase of a status code; empty if it is not known here.
 #[must_use]
 pub const fn reason_phrase(status: u16) -> &'static str {
     match status {
--- a/crates/http1/src/lib.rs
+++ b/crates/http1/src/lib.rs
@@ -1,10 +1,10 @@
 //! HTTP/1.1 messages on a byte stream.
 //!
-//! Heads are parsed by `httparse`; this crate adds what a proxy needs to know and a general library hides: how many
-//! bytes of a message were read, whether a body came to its proper end, and whether a connection may serve again.
-//! `docs/design/0101-request-path.md` tells why the request path does not run on `hyper`.
+//! `httparse` parses the heads; this crate adds what a proxy needs and a general library hides: how many
+//! bytes of a message were read, whether a body is complete, and whether a connection can be reused.
+//! `docs/design/0101-request-path.md` explains why the request path does not use `hyper`.
 //!
-//! Every reading function is safe to cancel: bytes that have arrived stay in the [`MessageReader`].
+//! All reading functions are cancel-safe: bytes that have arrived stay in the [`MessageReader`].
 
 mod body;
 mod encode;
--- a/crates/http1/src/reader.rs
+++ b/crates/http1/src/reader.rs
@@ -1,4 +1,4 @@
-//! Reads messages from one half of a connection.
+//! Reads messages from the receiving half of a connection.
 
 use std::time::Duration;
 
@@ -10,66 +10,66 @@
 use crate::error::{BodyError, HeadError};
 use crate::head::{Head, RequestHead, ResponseHead};
 
-/// Space asked for before the first read of a connection, in bytes.
-const FIRST_SPACE: usize = 1024;
-/// Most space asked for before a read, in bytes.
-const MOST_SPACE: usize = 16 * 1024;
-/// Factor by which the space grows when a read fills it.
-const SPACE_GROWTH: usize = 4;
+/// Buffer space reserved for the first read of a connection, in bytes.
+const INITIAL_READ_BYTES: usize = 1024;
+/// Maximum buffer space reserved for a read, in bytes.
+const MAX_READ_BYTES: usize = 16 * 1024;
+/// Factor by which the reserved space grows after a read that fills it.
+const READ_GROWTH_FACTOR: usize = 4;
 
 /// Limits on reading the next request of a connection.
 #[derive(Debug, Clone, Copy)]
 pub struct ReadLimits {
-    /// Longest head, in bytes.
+    /// Maximum size of the head, in bytes.
     pub head_bytes: usize,
-    /// Longest time from the first byte of a head to its end.
+    /// Maximum time from the first byte of a head to its end.
     pub head_time: Duration,
 }
 
-/// Reads messages from `R` and keeps the bytes that belong to the next one.
+/// Reads messages from `R` and buffers the bytes that belong to the next one.
 #[derive(Debug)]
 pub struct MessageReader<R> {
     stream: R,
     buffer: BytesMut,
-    /// Space asked for before the next read, in bytes.
+    /// Buffer space to reserve for the next read, in bytes.
     space: usize,
     /// When the first byte of the head being read arrived.
-    head_began: Option<Instant>,
+    head_started_at: Option<Instant>,
 }
 
 impl<R: AsyncRead + Unpin> MessageReader<R> {
-    /// A reader at the start of a connection.
+    /// Creates a reader at the start of a connection.
     pub fn new(stream: R) -> Self {
-        Self { stream, buffer: BytesMut::new(), space: FIRST_SPACE, head_began: None }
+        Self { stream, buffer: BytesMut::new(), space: INITIAL_READ_BYTES, head_started_at: None }
     }
 
-    /// Whether no byte is waiting to be taken as part of a message.
+    /// Whether the buffer is empty.
     #[must_use]
     pub fn is_empty(&self) -> bool {
         self.buffer.is_empty()
     }
 
-    /// The stream, to look at it without reading a message.
+    /// The underlying stream, for access without reading a message.
     pub fn stream(&mut self) -> &mut R {
         &mut self.stream
     }
 
-    /// Reads the head of the next request; `None` when the connection ends between two requests.
+    /// Reads the head of the next request; `None` if the connection ends between two requests.
     ///
     /// # Errors
-    /// Returns [`HeadError`] when there is no head to be had; the connection is of no further use then.
+    /// Returns [`HeadError`] if no valid head was read; the connection can't be reused then.
     pub async fn request_head(&mut self, limits: ReadLimits) -> Result<Option<RequestHead>, HeadError> {
         loop {
             if let Some(head) = self.buffered_head(limits.head_bytes)? {
-                self.head_began = None;
+                self.head_started_at = None;
                 return Ok(Some(head));
             }
-            if !self.buffer.is_empty() && self.head_began.is_none() {
-                self.head_began = Some(Instant::now());
+            if !self.buffer.is_empty() && self.head_started_at.is_none() {
+                self.head_started_at = Some(Instant::now());
             }
-            let count = match self.head_began {
-                None => self.read_some().await?,
-                Some(began) => timeout_at(began + limits.head_time, self.read_some())
+            let count = match self.head_started_at {
+                None => self.fill_buffer().await?,
+                Some(began) => timeout_at(began + limits.head_time, self.fill_buffer())
                     .await
                     .map_err(|_elapsed| HeadError::TooSlow)??,
             };
@@ -79,26 +79,26 @@
         }
     }
 
-    /// Reads the head of an answer.
+    /// Reads the head of a response.
     ///
     /// # Errors
-    /// Returns [`HeadError`] when there is no head to be had, [`HeadError::Truncated`] also if the connection ended
+    /// Returns [`HeadError`] if no valid head was read; [`HeadError::Truncated`] also if the connection ended
     /// without a byte.
     pub async fn response_head(&mut self, head_bytes: usize) -> Result<ResponseHead, HeadError> {
         loop {
             if let Some(head) = self.buffered_head(head_bytes)? {
                 return Ok(head);
             }
-            if self.read_some().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 return Err(HeadError::Truncated);
             }
         }
     }
 
-    /// Reads the next part of the body that `decoder` follows; `None` at its proper end.
+    /// Reads the next part of the body that `decoder` decodes; `None` once the body is complete.
     ///
     /// # Errors
-    /// Returns [`BodyError`] when the body does not come to its end.
+    /// Returns [`BodyError`] if the body can't be read completely.
     pub async fn body_part(&mut self, decoder: &mut BodyDecoder) -> Result<Option<Bytes>, BodyError> {
         loop {
             match decoder.decode(&mut self.buffer)? {
@@ -106,17 +106,17 @@
                 Decoded::End => return Ok(None),
                 Decoded::NeedsMore => {}
             }
-            if self.read_some().await? == 0 {
+            if self.fill_buffer().await? == 0 {
                 decoder.on_connection_end()?;
                 return Ok(None);
             }
         }
     }
 
-    /// Reads a whole body. `None` if it is longer than `limit` bytes; what was read of it is lost then.
+    /// Reads a whole body. Returns `None` if it is longer than `limit` bytes, and discards what was read.
     ///
     /// # Errors
-    /// Returns [`BodyError`] when the body does not come to its end.
+    /// Returns [`BodyError`] if the body can't be read completely.
     pub async fn whole_body(
         &mut self,
         decoder: &mut BodyDecoder,
@@ -136,11 +136,11 @@
         Ok(Some(whole.freeze()).filter(|whole| whole.len() <= limit))
     }
 
-    /// Waits until the peer ends the connection, keeping at most `limit` bytes that arrive meanwhile; with more than
-    /// that waiting, it waits for ever.
+    /// Waits until the peer closes the connection, buffering at most `limit` bytes that arrive meanwhile.
+    /// Once the buffer holds that many bytes, it waits for ever.
     pub async fn peer_gone(&mut self, limit: usize) {
         while self.buffer.len() < limit {
-            match self.read_some().await {
+            match self.fill_buffer().await {
                 Ok(0) | Err(_) => return,
                 Ok(_) => {}
             }
@@ -154,8 +154,8 @@
             return Ok(None);
         }
         let parsed = H::parse(&self.buffer)?;
-        let is_over = parsed.as_ref().map_or(self.buffer.len(), |(_head, length)| *length) > head_bytes;
-        if is_over {
+        let exceeds_limit = parsed.as_ref().map_or(self.buffer.len(), |(_head, length)| *length) > head_bytes;
+        if exceeds_limit {
             return Err(HeadError::TooLarge);
         }
         Ok(parsed.map(|(head, length)| {
@@ -164,27 +164,27 @@
         }))
     }
 
-    /// Blank lines before a message are passed over (RFC 9112, section 2.2).
+    /// Skips empty lines before a message (RFC 9112, section 2.2).
     fn skip_blank_lines(&mut self) {
         let blank = self.buffer.iter().take_while(|byte| matches!(byte, b'\r' | b'\n')).count();
         self.buffer.advance(blank);
     }
 
-    async fn read_some(&mut self) -> std::io::Result<usize> {
+    async fn fill_buffer(&mut self) -> std::io::Result<usize> {
         self.buffer.reserve(self.space);
         let count = self.stream.read_buf(&mut self.buffer).await?;
-        self.space = next_space(self.space, count);
+        self.space = next_read_size(self.space, count);
         Ok(count)
     }
 }
 
-/// Space for the read after one that took `count` bytes into `space`: long bodies come in few reads, and connections that
-/// carry little hold little.
-fn next_space(space: usize, count: usize) -> usize {
+/// Space to reserve after a read of `count` bytes into `space`: long bodies need few reads, and connections
+/// with little traffic keep small buffers.
+fn next_read_size(space: usize, count: usize) -> usize {
     if count >= space {
-        (space * SPACE_GROWTH).min(MOST_SPACE)
-    } else if count * SPACE_GROWTH < space {
-        (space / 2).max(FIRST_SPACE)
+        (space * READ_GROWTH_FACTOR).min(MAX_READ_BYTES)
+    } else if count * READ_GROWTH_FACTOR < space {
+        (space / 2).max(INITIAL_READ_BYTES)
     } else {
         space
     }
--- a/crates/http1/tests/messages.rs
+++ b/crates/http1/tests/messages.rs
@@ -1,4 +1,4 @@
-//! Reading and writing whole messages.
+//! Tests of reading and writing whole messages.
 
 use std::time::Duration;
 
@@ -22,7 +22,7 @@
 }
 
 #[tokio::test]
-async fn a_request_is_read_with_its_fields_as_they_came() {
+async fn request_fields_keep_order_case_and_value() {
     let bytes = b"POST /a/b?c=d HTTP/1.1\r\nHost: x.example\r\nX-Odd:  two words \r\n\r\n";
     let head = read_request(bytes).await.unwrap().unwrap();
     assert_eq!(&head.method[..], b"POST");
@@ -33,14 +33,14 @@
 }
 
 #[tokio::test]
-async fn the_end_between_two_requests_is_no_error_and_inside_one_it_is() {
+async fn connection_end_is_an_error_only_inside_a_request() {
     assert!(read_request(b"").await.unwrap().is_none());
     assert!(read_request(b"\r\n").await.unwrap().is_none());
     assert!(matches!(read_request(b"GET / HT").await, Err(HeadError::Truncated)));
 }
 
 #[tokio::test]
-async fn heads_over_the_limit_and_rubbish_are_told_apart() {
+async fn oversized_and_malformed_heads_are_distinguished() {
     let long = format!("GET / HTTP/1.1\r\nX: {}\r\n\r\n", "y".repeat(2000));
     assert!(matches!(read_request(long.as_bytes()).await, Err(HeadError::TooLarge)));
     let endless = "GET / HTTP/1.1\r\nX: ".to_owned() + &"y".repeat(2000);
@@ -50,17 +50,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_head_that_comes_too_slowly_is_given_up_and_an_idle_connection_is_not() {
+async fn slow_head_times_out_and_idle_connection_does_not() {
     let (mut sender, receiver) = tokio::io::duplex(64);
     let mut reader = MessageReader::new(receiver);
     let idle = tokio::time::timeout(Duration::from_secs(60), reader.request_head(LIMITS)).await;
-    assert!(idle.is_err(), "nothing was sent, so nothing is late");
+    assert!(idle.is_err(), "an idle connection has no head timeout");
     sender.write_all(b"GET / HTTP/1.1\r\n").await.unwrap();
     assert!(matches!(reader.request_head(LIMITS).await, Err(HeadError::TooSlow)));
 }
 
 #[tokio::test]
-async fn lengths_that_two_readers_could_read_otherwise_are_refused() {
+async fn ambiguous_body_lengths_are_rejected() {
     let framing =
         async |fields: &str| framing_of(format!("POST / HTTP/1.1\r\n{fields}\r\n").as_bytes()).await;
     assert_eq!(framing("").await, Ok(Framing::Length(0)));
@@ -68,21 +68,21 @@
     assert_eq!(framing("Content-Length: 5\r\nContent-Length: 5\r\n").await, Ok(Framing::Length(5)));
     assert_eq!(framing("Transfer-Encoding: chunked\r\n").await, Ok(Framing::Chunked));
     for length in ["+5", "5, 5", "-1", "0x5", "", "99999999999999999999999"] {
-        let told = framing(&format!("Content-Length: {length}\r\n")).await;
-        assert_eq!(told, Err(FramingError::InvalidLength), "{length}");
+        let result = framing(&format!("Content-Length: {length}\r\n")).await;
+        assert_eq!(result, Err(FramingError::InvalidLength), "{length}");
     }
     let two = framing("Content-Length: 5\r\nContent-Length: 6\r\n").await;
     assert_eq!(two, Err(FramingError::InvalidLength));
     let both = framing("Content-Length: 5\r\nTransfer-Encoding: chunked\r\n").await;
     assert_eq!(both, Err(FramingError::LengthAndCoding));
     for coding in ["gzip, chunked", "identity", "xchunked"] {
-        let told = framing(&format!("Transfer-Encoding: {coding}\r\n")).await;
-        assert_eq!(told, Err(FramingError::UnknownCoding), "{coding}");
+        let result = framing(&format!("Transfer-Encoding: {coding}\r\n")).await;
+        assert_eq!(result, Err(FramingError::UnknownCoding), "{coding}");
     }
 }
 
 #[tokio::test]
-async fn answers_without_a_length_end_with_their_connection_and_some_have_no_body() {
+async fn response_without_length_extends_to_connection_end_unless_bodyless() {
     let read = async |bytes: &'static [u8]| MessageReader::new(bytes).response_head(1024).await.unwrap();
     let plain = read(b"HTTP/1.1 200 OK\r\n\r\n").await;
     assert_eq!(response_framing(&plain, b"GET"), Ok(Framing::UntilClose));
@@ -91,28 +91,31 @@
     assert_eq!(response_framing(&empty, b"GET"), Ok(Framing::Length(0)));
 }
 
-async fn whole(framing: Framing, bytes: &[u8]) -> Result<Option<Vec<u8>>, BodyError> {
+async fn read_body(framing: Framing, bytes: &[u8]) -> Result<Option<Vec<u8>>, BodyError> {
     let mut reader = MessageReader::new(bytes);
     let body = reader.whole_body(&mut BodyDecoder::new(framing), 1024).await?;
     Ok(body.map(|body| body.to_vec()))
 }
 
 #[tokio::test]
-async fn bodies_end_where_they_should_and_nowhere_else() {
-    assert_eq!(whole(Framing::Length(3), b"abcdef").await.unwrap(), Some(b"abc".to_vec()));
-    assert!(matches!(whole(Framing::Length(9), b"abc").await, Err(BodyError::Truncated)));
-    assert_eq!(whole(Framing::UntilClose, b"abc").await.unwrap(), Some(b"abc".to_vec()));
+async fn truncated_malformed_and_oversized_bodies_are_detected() {
+    assert_eq!(read_body(Framing::Length(3), b"abcdef").await.unwrap(), Some(b"abc".to_vec()));
+    assert!(matches!(read_body(Framing::Length(9), b"abc").await, Err(BodyError::Truncated)));
+    assert_eq!(read_body(Framing::UntilClose, b"abc").await.unwrap(), Some(b"abc".to_vec()));
     let chunked = b"3\r\nabc\r\n2;extension=x\r\nde\r\n0\r\nTrailer: x\r\n\r\nrest";
-    assert_eq!(whole(Framing::Chunked, chunked).await.unwrap(), Some(b"abcde".to_vec()));
-    assert!(matches!(whole(Framing::Chunked, b"3\r\nabc\r\n").await, Err(BodyError::Truncated)));
-    assert!(matches!(whole(Framing::Chunked, b"zz\r\nabc\r\n").await, Err(BodyError::Malformed)));
-    assert!(matches!(whole(Framing::Chunked, b"3\r\nabcd\r\n0\r\n\r\n").await, Err(BodyError::Malformed)));
+    assert_eq!(read_body(Framing::Chunked, chunked).await.unwrap(), Some(b"abcde".to_vec()));
+    assert!(matches!(read_body(Framing::Chunked, b"3\r\nabc\r\n").await, Err(BodyError::Truncated)));
+    assert!(matches!(read_body(Framing::Chunked, b"zz\r\nabc\r\n").await, Err(BodyError::Malformed)));
+    assert!(matches!(
+        read_body(Framing::Chunked, b"3\r\nabcd\r\n0\r\n\r\n").await,
+        Err(BodyError::Malformed)
+    ));
     let long = vec![b'x'; 2000];
-    assert_eq!(whole(Framing::UntilClose, &long).await.unwrap(), None);
+    assert_eq!(read_body(Framing::UntilClose, &long).await.unwrap(), None);
 }
 
 #[tokio::test]
-async fn what_follows_a_body_stays_for_the_next_message() {
+async fn bytes_after_a_body_are_kept_for_the_next_message() {
     let bytes = b"POST / HTTP/1.1\r\nContent-Length: 2\r\n\r\nabGET /next HTTP/1.1\r\n\r\n";
     let mut reader = MessageReader::new(&bytes[..]);
     let first = reader.request_head(LIMITS).await.unwrap().unwrap();
@@ -125,7 +128,7 @@
 }
 
 #[test]
-fn connection_fields_are_removed_with_those_that_connection_lists() {
+fn hop_by_hop_fields_and_those_listed_by_connection_are_removed() {
     let mut fields = Fields::default();
     for (name, value) in [
         ("Host", "x"),
@@ -145,8 +148,8 @@
     assert_eq!(names, [&b"Host"[..], b"Kept"]);
 }
 
-/// A message with a chunked body, and the message again as a reader finds it when the bytes come in `sizes`.
-fn read_in_pieces(bytes: &[u8], sizes: &[u8]) -> (RequestHead, Vec<u8>) {
+/// Sends `bytes` in pieces of the given sizes and returns the request head and body that a reader decodes.
+fn read_segmented(bytes: &[u8], sizes: &[u8]) -> (RequestHead, Vec<u8>) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().build().unwrap();
     runtime.block_on(async {
         let (mut sender, receiver) = tokio::io::duplex(16);
@@ -171,7 +174,7 @@
 }
 
 quickcheck! {
-    fn a_message_is_read_alike_however_it_is_cut(parts: Vec<Vec<u8>>, sizes: Vec<u8>) -> bool {
+    fn message_decodes_the_same_for_any_segmentation(parts: Vec<Vec<u8>>, sizes: Vec<u8>) -> bool {
         let mut fields = Fields::default();
         fields.push("Host", "x.example");
         let mut bytes = BytesMut::new();
@@ -180,13 +183,13 @@
             write_chunk(&mut bytes, part);
         }
         write_last_chunk(&mut bytes);
-        let (head, body) = read_in_pieces(&bytes, &sizes);
+        let (head, body) = read_segmented(&bytes, &sizes);
         head.fields.text("host") == Some("x.example") && body == parts.concat()
     }
 }
 
 #[test]
-fn heads_are_written_with_their_framing() {
+fn written_heads_contain_their_framing() {
     let mut fields = Fields::default();
     fields.push("A", "b");
     let written = |framing| {
