--- a/crates/net/src/framing.rs
+++ b/crates/net/src/framing.rs
@@ -10,7 +10,7 @@
 use tokio::io::{AsyncRead, AsyncWrite};
 use tokio_util::codec::{FramedRead, FramedWrite, LengthDelimitedCodec};
 
-/// Largest accepted frame, in bytes. A full transfer of the configuration of the planned size stays below it.
+/// Largest accepted frame, in bytes. A full configuration of the size the mesh is designed for fits into it.
 pub const MAX_FRAME_BYTES: usize = 16 * 1024 * 1024;
 
 /// A frame that could not be read or written. After any of these the connection is closed.
@@ -19,20 +19,20 @@
     /// The transport failed, or the peer sent a frame over the limit.
     #[error("the connection failed")]
     Transport(#[from] io::Error),
-    /// The frame holds no message of this protocol version.
-    #[error("the peer sent a frame that is no known message")]
+    /// The frame can't be decoded as a message of this protocol version.
+    #[error("the peer sent a frame that can't be decoded")]
     Undecodable(#[source] bitcode::Error),
 }
 
-/// Space for one side of a connection at its start, in bytes; it grows with what passes. Most connections carry small
-/// messages, and a busy node has more than a thousand of them.
-const FIRST_SPACE: usize = 1024;
+/// Initial buffer capacity of each direction of a connection, in bytes; it grows as needed. Most connections
+/// carry small messages, and a busy node has more than a thousand connections.
+const INITIAL_BUFFER_BYTES: usize = 1024;
 
 fn codec() -> LengthDelimitedCodec {
     LengthDelimitedCodec::builder().max_frame_length(MAX_FRAME_BYTES).new_codec()
 }
 
-/// Reads messages of type `M`.
+/// Reads length-prefixed messages of type `M`.
 #[derive(Debug)]
 pub struct FrameReader<R, M> {
     frames: FramedRead<R, LengthDelimitedCodec>,
@@ -40,15 +40,19 @@
 }
 
 impl<R: AsyncRead + Unpin, M: DecodeOwned> FrameReader<R, M> {
-    /// Reads frames from `stream`.
+    /// Creates a reader of the frames from `stream`.
     pub fn new(stream: R) -> Self {
-        Self { frames: FramedRead::with_capacity(stream, codec(), FIRST_SPACE), message: PhantomData }
+        Self {
+            frames: FramedRead::with_capacity(stream, codec(), INITIAL_BUFFER_BYTES),
+            message: PhantomData,
+        }
     }
 
-    /// Reads the next message and its size on the wire in bytes; `None` at a clean end between two frames.
+    /// Reads the next message and its size on the wire in bytes; `None` if the stream ends
+    /// between two frames.
     ///
     /// # Errors
-    /// Returns [`FrameError`] on a transport failure, an oversized frame or an unknown message.
+    /// Returns [`FrameError`] if the transport fails, or a frame is too large or can't be decoded.
     pub async fn next(&mut self) -> Result<Option<(M, usize)>, FrameError> {
         let Some(frame) = self.frames.next().await else {
             return Ok(None);
@@ -59,10 +63,10 @@
     }
 }
 
-/// Bytes of the length in front of a frame.
+/// Size of the length prefix of a frame, in bytes.
 const LENGTH_PREFIX_BYTES: usize = 4;
 
-/// Writes messages of type `M`.
+/// Writes length-prefixed messages of type `M`.
 #[derive(Debug)]
 pub struct FrameWriter<W, M> {
     frames: FramedWrite<W, LengthDelimitedCodec>,
@@ -70,15 +74,18 @@
 }
 
 impl<W: AsyncWrite + Unpin, M: Encode> FrameWriter<W, M> {
-    /// Writes frames to `stream`.
+    /// Creates a writer of frames to `stream`.
     pub fn new(stream: W) -> Self {
-        Self { frames: FramedWrite::with_capacity(stream, codec(), FIRST_SPACE), message: PhantomData }
+        Self {
+            frames: FramedWrite::with_capacity(stream, codec(), INITIAL_BUFFER_BYTES),
+            message: PhantomData,
+        }
     }
 
-    /// Writes and flushes one message; tells its size on the wire in bytes.
+    /// Writes and flushes one message; returns its size on the wire in bytes.
     ///
     /// # Errors
-    /// Returns [`FrameError::Transport`] when the connection fails or the message is over the limit.
+    /// Returns [`FrameError::Transport`] if the connection fails or the message exceeds the limit.
     pub async fn send(&mut self, message: &M) -> Result<usize, FrameError> {
         let frame = Bytes::from(bitcode::encode(message));
         let size = frame.len() + LENGTH_PREFIX_BYTES;
--- a/crates/net/src/http_client.rs
+++ b/crates/net/src/http_client.rs
@@ -1,4 +1,4 @@
-//! One HTTP/1.1 exchange on a connection of its own, for control traffic (platform, operator, admin).
+//! A single HTTP/1.1 exchange on a new connection, for control traffic (platform, operator, admin).
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,27 +12,27 @@
 
 use crate::Network;
 
-/// An exchange that did not finish. Only [`HttpClientError::Connect`] proves that the request was not processed.
+/// An exchange that failed. Only [`HttpClientError::Connect`] proves that the request was not processed.
 #[derive(Debug, Error)]
 pub enum HttpClientError {
-    /// No connection: nothing was sent.
+    /// The connection could not be established; nothing was sent.
     #[error("no connection to {address}")]
     Connect {
-        /// The address tried.
+        /// The address of the failed attempt.
         address: SocketAddr,
-        /// What the transport said.
+        /// Error of the transport.
         #[source]
         source: io::Error,
     },
-    /// The exchange broke after the connection was made; the request may have been processed.
-    #[error("the exchange broke")]
+    /// The exchange failed after the connection was established; the request may have been processed.
+    #[error("the exchange failed")]
     Exchange(#[from] hyper::Error),
-    /// The answer's body broke or exceeded the limit.
-    #[error("the answer's body broke or is over the limit")]
+    /// The response body was truncated or exceeded the limit.
+    #[error("the response body was truncated or exceeds the limit")]
     Body(#[source] Box<dyn std::error::Error + Send + Sync>),
 }
 
-/// An answer whose body is still arriving. The connection lives as long as this value.
+/// A response whose body is still being received. Dropping it closes the connection.
 #[derive(Debug)]
 pub struct HttpExchange {
     /// Status, headers and the streaming body.
@@ -49,11 +49,11 @@
     }
 }
 
-/// Sends `request` to `address` on a new connection. The request needs a `host` header. There is no time limit
+/// Sends `request` to `address` on a new connection. The request needs a `host` header. There is no timeout
 /// here; the caller sets one, and dropping the future cancels the exchange.
 ///
 /// # Errors
-/// Returns [`HttpClientError::Connect`] if nothing was sent, [`HttpClientError::Exchange`] otherwise.
+/// Returns [`HttpClientError::Connect`] if nothing was sent, and [`HttpClientError::Exchange`] otherwise.
 pub async fn send_request(
     network: &dyn Network,
     address: SocketAddr,
@@ -63,7 +63,7 @@
         network.connect(address).await.map_err(|source| HttpClientError::Connect { address, source })?;
     let (mut sender, connection) = hyper::client::conn::http1::handshake(TokioIo::new(stream)).await?;
     let connection = AbortOnDrop(tokio::spawn(async move {
-        // The exchange itself reports the failure to its caller.
+        // The caller receives the error from the exchange itself.
         let _ = connection.await;
     }));
     let response = sender.send_request(request).await?;
@@ -73,7 +73,7 @@
 /// Reads the whole body of an exchange, at most `limit` bytes.
 ///
 /// # Errors
-/// Returns [`HttpClientError::Body`] when the body breaks off or is over the limit.
+/// Returns [`HttpClientError::Body`] if the body is truncated or exceeds the limit.
 pub async fn collect_body(exchange: HttpExchange, limit: usize) -> Result<Response<Bytes>, HttpClientError> {
     let HttpExchange { response, connection } = exchange;
     let (parts, body) = response.into_parts();
@@ -82,7 +82,7 @@
     Ok(Response::from_parts(parts, collected.to_bytes()))
 }
 
-/// Whether a body failed for its size alone.
+/// Whether the error is a body that exceeded the limit.
 #[must_use]
 pub fn is_over_limit(error: &HttpClientError) -> bool {
     matches!(error, HttpClientError::Body(source) if source.is::<LengthLimitError>())
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,8 @@
-//! Transport trait over TCP and memory, framing of internal messages, and a small HTTP/1.1 client.
+//! Transport traits with a TCP and UDP implementation, framing of internal messages, and a small HTTP/1.1
+//! client.
 //!
-//! All of the daemon's traffic goes through [`Network`], so that the simulation can put its own links, delays
-//! and cuts in place of TCP and run the same code.
+//! All of the daemon's traffic goes through [`Network`], so that the simulation can replace TCP by simulated
+//! links, delays and failures and run the same code.
 
 mod framing;
 mod http_client;
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -1,4 +1,4 @@
-//! The transport over TCP and UDP.
+//! Implementation of the transport over TCP and UDP.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,12 +10,12 @@
 
 use crate::{BoxDatagrams, BoxListener, BoxStream, Datagrams, Listener, Network};
 
-/// Time after which a connection is given up whose peer acknowledges nothing that was sent.
-const UNACKNOWLEDGED_TIME: Duration = Duration::from_secs(3);
+/// Time after which a connection is aborted if sent data stays unacknowledged (`TCP_USER_TIMEOUT`).
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// Time without a byte after which the peer's system is asked whether the connection still stands, and between two
-/// questions: a connection that has gone silent while an answer is awaited is found after [`UNACKNOWLEDGED_TIME`] too.
-const KEEP_ALIVE_TIME: Duration = Duration::from_secs(1);
+/// Idle time before the first TCP keep-alive probe, and interval between probes. With it, a dead connection
+/// on which a response is awaited is detected after [`UNACKNOWLEDGED_TIMEOUT`] too.
+const KEEP_ALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// TCP with Nagle's algorithm off, and UDP.
 #[derive(Debug, Clone, Copy, Default)]
@@ -25,14 +25,14 @@
 impl Network for TcpNetwork {
     async fn connect(&self, to: SocketAddr) -> io::Result<BoxStream> {
         let stream = TcpStream::connect(to).await?;
-        prepare(&stream)?;
+        set_socket_options(&stream)?;
         Ok(Box::new(stream))
     }
 
     async fn listen(&self, at: SocketAddr) -> io::Result<BoxListener> {
         let listener = TcpListener::bind(at).await?;
         let address = listener.local_addr()?;
-        Ok(Box::new(TcpAcceptor { listener, address }))
+        Ok(Box::new(TcpStreamListener { listener, address }))
     }
 
     async fn datagrams(&self, at: SocketAddr) -> io::Result<BoxDatagrams> {
@@ -42,30 +42,30 @@
     }
 }
 
-struct TcpAcceptor {
+struct TcpStreamListener {
     listener: TcpListener,
     address: SocketAddr,
 }
 
 #[async_trait]
-impl Listener for TcpAcceptor {
+impl Listener for TcpStreamListener {
     fn local_addr(&self) -> SocketAddr {
         self.address
     }
 
     async fn accept(&mut self) -> io::Result<(BoxStream, SocketAddr)> {
         let (stream, peer) = self.listener.accept().await?;
-        prepare(&stream)?;
+        set_socket_options(&stream)?;
         Ok((Box::new(stream), peer))
     }
 }
 
-fn prepare(stream: &TcpStream) -> io::Result<()> {
+fn set_socket_options(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
-    // Without it a dead peer is found later; that is no reason to refuse the connection.
+    // Without these options a dead peer is detected later, which is no reason to refuse the connection.
     let socket = SockRef::from(stream);
-    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIME));
-    let keep_alive = TcpKeepalive::new().with_time(KEEP_ALIVE_TIME).with_interval(KEEP_ALIVE_TIME);
+    let _ = socket.set_tcp_user_timeout(Some(UNACKNOWLEDGED_TIMEOUT));
+    let keep_alive = TcpKeepalive::new().with_time(KEEP_ALIVE_INTERVAL).with_interval(KEEP_ALIVE_INTERVAL);
     let _ = socket.set_tcp_keepalive(&keep_alive);
     Ok(())
 }
@@ -82,7 +82,7 @@
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) {
-        // A datagram that can't be sent is one that is lost.
+        // A datagram that can't be sent counts as lost.
         let _ = self.socket.try_send_to(bytes, to);
     }
 
--- a/crates/net/src/transport.rs
+++ b/crates/net/src/transport.rs
@@ -1,4 +1,4 @@
-//! The transport trait.
+//! Traits of the transport: streams, listeners and datagram sockets.
 
 use std::io;
 use std::net::SocketAddr;
@@ -12,38 +12,39 @@
 
 impl<T: AsyncRead + AsyncWrite + Send + Unpin + 'static> Stream for T {}
 
-/// A stream of any transport.
+/// A boxed stream of any transport.
 pub type BoxStream = Box<dyn Stream>;
 
-/// A listener of any transport.
+/// A boxed listener of any transport.
 pub type BoxListener = Box<dyn Listener>;
 
-/// A socket for datagrams of any transport.
+/// A boxed datagram socket of any transport.
 pub type BoxDatagrams = Box<dyn Datagrams>;
 
-/// Sends and receives datagrams at one address. Any of them may be lost, doubled or overtaken.
+/// A datagram socket. Datagrams may be lost, duplicated or reordered.
 #[async_trait]
 pub trait Datagrams: Send + Sync + 'static {
-    /// The address at which datagrams are received.
+    /// Local address, at which datagrams are received.
     fn local_addr(&self) -> SocketAddr;
 
-    /// Sends one datagram, or drops it if there is no room for it now.
+    /// Sends one datagram, or drops it if the send buffer is full.
     fn send(&self, bytes: &[u8], to: SocketAddr);
 
-    /// Waits for the next datagram; tells its length and its sender.
+    /// Waits for the next datagram; returns its length and its sender.
     ///
     /// # Errors
-    /// Fails as the transport does. The socket stays usable.
+    /// Returns the error of the transport. The socket stays usable.
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)>;
 }
 
-/// Opens and accepts streams.
+/// Opens streams, listeners and datagram sockets.
 #[async_trait]
 pub trait Network: Send + Sync + 'static {
     /// Opens a stream to `to`.
     ///
     /// # Errors
-    /// Fails as the transport does: refused, unreachable, reset. There is no time limit; the caller sets one.
+    /// Returns the error of the transport: refused, unreachable, reset. There is no timeout; the caller sets
+    /// one.
     async fn connect(&self, to: SocketAddr) -> io::Result<BoxStream>;
 
     /// Listens at `at`; port 0 takes any free port.
@@ -65,13 +66,13 @@
 /// Accepts streams at one address.
 #[async_trait]
 pub trait Listener: Send + 'static {
-    /// The address listened at.
+    /// Local address of the listener.
     fn local_addr(&self) -> SocketAddr;
 
     /// Waits for the next stream.
     ///
     /// # Errors
-    /// Fails as the transport does. An error concerns one stream; the listener stays usable.
+    /// Returns the error of the transport. An error concerns one stream; the listener stays usable.
     async fn accept(&mut self) -> io::Result<(BoxStream, SocketAddr)>;
 }
 
