--- a/crates/operator/src/admin/api.rs
+++ b/crates/operator/src/admin/api.rs
@@ -1,4 +1,4 @@
-//! The bodies of the operator API, as JSON. The command line reads them back.
+//! JSON bodies of the operator API, which the command line also deserializes.
 
 use std::collections::BTreeMap;
 
@@ -6,46 +6,46 @@
 use umberpond_config::{Bundle, CheckReport, SealKey};
 use umberpond_model::{BundleName, Locality, NodeName, ServiceName, SubmissionId, Version};
 
-/// Result of a submission or of a question about one.
+/// Result of a submission, or of a request for its outcome.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(tag = "result", rename_all = "kebab-case")]
 pub enum SubmissionResult {
-    /// It became a version.
+    /// The submission was accepted as a version.
     Accepted {
         /// The submission.
         submission: SubmissionId,
         /// The version.
         version: Version,
     },
-    /// The checker found faults; nothing changed.
+    /// The checker found faults; the configuration is unchanged.
     Invalid {
         /// The submission.
         submission: SubmissionId,
-        /// Every fault.
+        /// All faults that the checker found.
         report: CheckReport,
     },
-    /// It does not fit what is in force: another submission won, the bundle to withdraw is not in force, or the
-    /// identifier was used before. Nothing changed.
+    /// The submission conflicts with the active configuration: another submission won, the bundle to withdraw
+    /// is not active, or the identifier was used before. The configuration is unchanged.
     Conflict {
         /// The submission.
         submission: SubmissionId,
         /// Version of the submission that won, if one did.
         winner: Option<Version>,
-        /// What clashes.
+        /// Description of the conflict.
         reason: String,
-        /// Faults that the two have together.
+        /// Faults of the two submissions combined.
         report: Option<CheckReport>,
     },
-    /// Nothing changed, and nothing will by this submission.
+    /// The submission was not accepted and never will be; the configuration is unchanged.
     NotAccepted {
         /// The submission.
         submission: SubmissionId,
-        /// Try again after this time, in milliseconds.
+        /// Time after which a retry makes sense, in milliseconds.
         retry_after_millis: u64,
-        /// Why.
+        /// Why the submission was not accepted.
         reason: String,
     },
-    /// The platform's answer was lost: ask again with the identifier.
+    /// The platform's response was lost: the outcome can be requested with the identifier.
     Unknown {
         /// The submission.
         submission: SubmissionId,
@@ -54,8 +54,8 @@
 
 /// A request that the operator API refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Refusal {
-    /// What is wrong.
+pub struct ErrorBody {
+    /// Description of the error.
     pub error: String,
 }
 
@@ -64,77 +64,77 @@
 pub struct NodeStatus {
     /// Name of the node.
     pub node: NodeName,
-    /// Service on whose behalf its callers send.
+    /// Service as which its local callers send requests.
     pub service: ServiceName,
-    /// Where it runs.
+    /// Locality of the node.
     pub locality: Locality,
-    /// Whether callers may be sent to it.
+    /// Whether it is ready for callers.
     pub readiness: Readiness,
-    /// Version in force.
+    /// Active version.
     pub version: Option<Version>,
-    /// Whether it reads the store.
+    /// Whether the node reads the store.
     pub reads_store: bool,
-    /// The back end beside it, if one is known.
+    /// The back end beside the node, if one is known.
     pub back_end: Option<BackEndStatus>,
-    /// The other nodes as it sees them.
+    /// The other nodes, as known to this node.
     pub members: Vec<MemberStatus>,
 }
 
-/// Whether callers may be sent to a node.
+/// Whether a node is ready for callers.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Readiness {
-    /// Whether they may.
+    /// Whether the node is ready.
     pub ready: bool,
-    /// The reason against it.
+    /// Why the node is not ready.
     pub reason: Option<String>,
 }
 
-/// State of a back end by its node's word.
+/// State of a back end, as reported by its node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct BackEndStatus {
-    /// Identity of its present life.
+    /// Identity of its current process.
     pub instance: String,
-    /// Service that it serves.
+    /// Service that the back end provides.
     pub service: ServiceName,
     /// `ready`, `draining` or `unreachable`.
     pub state: String,
-    /// Requests that it works on.
+    /// Requests being processed.
     pub running: u32,
-    /// Requests that wait for it.
+    /// Requests waiting for a slot.
     pub waiting: u32,
-    /// Requests that it works on at once.
+    /// Maximum number of requests processed at the same time.
     pub slots: u32,
 }
 
-/// Another node as one node sees it.
+/// Another node, as known to one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct MemberStatus {
-    /// The node.
+    /// Name of the node.
     pub node: NodeName,
-    /// Where it runs.
+    /// Locality of the node.
     pub locality: Locality,
     /// `reachable`, `one-way` or `silent`.
     pub reachability: String,
-    /// Version in force there, as told last.
+    /// Active version there, as last reported.
     pub version: Option<Version>,
-    /// Its back end, if it told of one.
+    /// Back end beside the node, if it reported one.
     pub back_end: Option<BackEndStatus>,
 }
 
-/// How far one version has come, as one node sees it.
+/// Rollout progress of one version, as known to one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// The version.
     pub version: Version,
-    /// Nodes that are heard, the asked one included.
+    /// Nodes that are not silent, including the responding one.
     pub nodes: u32,
-    /// Those of them in which this version or a later one is in force.
+    /// Those of them in which this version or a later one is active.
     pub active: u32,
-    /// Whether it is in force on all of them.
+    /// Whether the version is active on all of them.
     pub everywhere: bool,
-    /// Nodes that are not heard: down, or cut off. They fetch the newest version before they are ready again.
+    /// Silent nodes: down or unreachable. They fetch the newest version before they become ready again.
     pub silent: u32,
-    /// Some of the nodes that are heard and in which it is not in force.
+    /// Some of the nodes that are not silent and in which the version is not active yet.
     pub behind: Vec<MemberStatus>,
 }
 
@@ -143,20 +143,20 @@
 pub struct ServiceSealKey {
     /// The service.
     pub service: ServiceName,
-    /// Its public key.
+    /// Public seal key of the service.
     pub seal_key: SealKey,
 }
 
-/// The newest accepted configuration, secrets sealed.
+/// The newest accepted configuration, with sealed secrets.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Configuration {
-    /// Its version.
+    /// Version of the configuration.
     pub version: Version,
-    /// The bundles in force.
+    /// The bundles of the version.
     pub bundles: BTreeMap<BundleName, Bundle>,
 }
 
-/// Identity of a bundle and its submission, for logs.
+/// Names of a bundle and its submission, for events.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) struct SubmissionName {
     pub(crate) bundle: BundleName,
--- a/crates/operator/src/admin/bundles.rs
+++ b/crates/operator/src/admin/bundles.rs
@@ -1,4 +1,4 @@
-//! Submitting, withdrawing and resolving.
+//! Submission, withdrawal and resolution of bundles.
 
 use bytes::Bytes;
 use http::StatusCode;
@@ -8,26 +8,26 @@
 use umberpond_model::{BundleName, SubmissionId, Version};
 use umberpond_telemetry::Event;
 
-use super::answer::Answer;
 use super::api::{ServiceSealKey, SubmissionName, SubmissionResult};
 use super::configuration;
+use super::response::ApiResponse;
 use super::shared::AdminShared;
 
-/// When to ask again about a submission whose outcome is unknown, in seconds.
+/// Value of `Retry-After` for a submission whose outcome is unknown, in seconds.
 const UNKNOWN_RETRY_SECONDS: u64 = 1;
 
 const MILLIS_PER_SECOND: u64 = 1_000;
 
-/// Submits a bundle, or withdraws it if there is no body.
+/// Submits the bundle in `body`, or withdraws the bundle if there is no body.
 pub(super) async fn submit(
     shared: &AdminShared,
     submission: SubmissionId,
     bundle: BundleName,
     body: Option<Bytes>,
-) -> Answer {
+) -> ApiResponse {
     let change = match body.as_deref().map(Bundle::from_bytes) {
         Some(Ok(content)) => Change::Put(content),
-        Some(Err(error)) => return Answer::refusal(StatusCode::BAD_REQUEST, error.to_string()),
+        Some(Err(error)) => return ApiResponse::refusal(StatusCode::BAD_REQUEST, error.to_string()),
         None => Change::Withdraw,
     };
     let result = shared.acceptor.submit(submission, bundle.clone(), change).await;
@@ -40,13 +40,13 @@
                 submission,
                 version,
             });
-            Answer::json(StatusCode::OK, &SubmissionResult::Accepted { submission, version })
+            ApiResponse::json(StatusCode::OK, &SubmissionResult::Accepted { submission, version })
         }
-        Err(error) => refused(shared, name, error),
+        Err(error) => refusal_response(shared, name, error),
     }
 }
 
-fn refused(shared: &AdminShared, name: SubmissionName, error: SubmitError) -> Answer {
+fn refusal_response(shared: &AdminShared, name: SubmissionName, error: SubmitError) -> ApiResponse {
     let SubmissionName { bundle, submission } = name;
     let reason = error.to_string();
     shared.daemon.telemetry().emit(match error {
@@ -54,28 +54,28 @@
         SubmitError::NotAccepted { .. } => Event::SubmissionNotAccepted { bundle, submission, reason },
         _ => Event::SubmissionRefused { bundle, submission, reason },
     });
-    answer(submission, error)
+    submit_error_response(submission, error)
 }
 
-/// The answer to a submission that this call did not get accepted.
-pub(super) fn answer(submission: SubmissionId, error: SubmitError) -> Answer {
+/// Response to a submission that was not accepted by this request.
+pub(super) fn submit_error_response(submission: SubmissionId, error: SubmitError) -> ApiResponse {
     let reason = error.to_string();
     match error {
         SubmitError::Unknown { .. } => unknown(submission),
         SubmitError::NotAccepted { retry_after, .. } => {
             let retry_after_millis = u64::try_from(retry_after.as_millis()).unwrap_or(u64::MAX);
             let result = SubmissionResult::NotAccepted { submission, retry_after_millis, reason };
-            Answer::json(StatusCode::SERVICE_UNAVAILABLE, &result)
+            ApiResponse::json(StatusCode::SERVICE_UNAVAILABLE, &result)
                 .retry_after(retry_after_millis.div_ceil(MILLIS_PER_SECOND))
         }
         other => {
             let (status, result) = refusal(submission, reason, other);
-            Answer::json(status, &result)
+            ApiResponse::json(status, &result)
         }
     }
 }
 
-/// The answer to a refusal that stands as long as nothing else changes.
+/// Response to a submission that would be refused again unless the configuration changes.
 fn refusal(submission: SubmissionId, reason: String, error: SubmitError) -> (StatusCode, SubmissionResult) {
     match error {
         SubmitError::Invalid(report) => {
@@ -93,29 +93,29 @@
     }
 }
 
-fn unknown(submission: SubmissionId) -> Answer {
-    Answer::json(StatusCode::GATEWAY_TIMEOUT, &SubmissionResult::Unknown { submission })
+fn unknown(submission: SubmissionId) -> ApiResponse {
+    ApiResponse::json(StatusCode::GATEWAY_TIMEOUT, &SubmissionResult::Unknown { submission })
         .retry_after(UNKNOWN_RETRY_SECONDS)
 }
 
-/// What became of a submission.
-pub(super) async fn resolve(shared: &AdminShared, submission: SubmissionId) -> Answer {
+/// Resolves the outcome of a submission.
+pub(super) async fn resolve(shared: &AdminShared, submission: SubmissionId) -> ApiResponse {
     match shared.acceptor.resolve(submission).await {
         Resolution::Accepted(version) => {
-            Answer::json(StatusCode::OK, &SubmissionResult::Accepted { submission, version })
+            ApiResponse::json(StatusCode::OK, &SubmissionResult::Accepted { submission, version })
         }
-        Resolution::NotAccepted(version) => given_up(submission, version),
+        Resolution::NotAccepted(version) => abandoned_response(submission, version),
         Resolution::Unknown => unknown(submission),
     }
 }
 
-/// Gives a submission up for good, unless it was accepted before.
-pub(super) async fn abandon(shared: &AdminShared, submission: SubmissionId) -> Answer {
+/// Abandons a submission permanently, unless it was accepted before.
+pub(super) async fn abandon(shared: &AdminShared, submission: SubmissionId) -> ApiResponse {
     match shared.acceptor.abandon(submission).await {
         Ok(Abandonment::AlreadyAccepted(version)) => {
-            Answer::json(StatusCode::OK, &SubmissionResult::Accepted { submission, version })
+            ApiResponse::json(StatusCode::OK, &SubmissionResult::Accepted { submission, version })
         }
-        Ok(Abandonment::Abandoned(version)) => given_up(submission, version),
+        Ok(Abandonment::Abandoned(version)) => abandoned_response(submission, version),
         Err(AbandonError::NotAbandoned { retry_after, .. }) => {
             unknown(submission).retry_after(retry_after.as_secs().max(UNKNOWN_RETRY_SECONDS))
         }
@@ -123,25 +123,26 @@
     }
 }
 
-fn given_up(submission: SubmissionId, version: Version) -> Answer {
+fn abandoned_response(submission: SubmissionId, version: Version) -> ApiResponse {
     let reason = format!("it was given up at version {version}");
     let result = SubmissionResult::NotAccepted { submission, retry_after_millis: 0, reason };
-    Answer::json(StatusCode::OK, &result)
+    ApiResponse::json(StatusCode::OK, &result)
 }
 
-/// The newest accepted configuration, read from the platform.
+/// Reads the newest accepted configuration from the platform.
 async fn newest(shared: &AdminShared) -> Result<Option<WholeConfiguration>, ChainError> {
     let chain = shared.acceptor.chain();
     let Some(seen) = chain.read_head().await? else { return Ok(None) };
     chain.read_whole(seen.head.record).await.map(Some)
 }
 
-fn unavailable(error: &ChainError) -> Answer {
-    Answer::refusal(StatusCode::SERVICE_UNAVAILABLE, error.to_string()).retry_after(UNKNOWN_RETRY_SECONDS)
+fn unavailable(error: &ChainError) -> ApiResponse {
+    ApiResponse::refusal(StatusCode::SERVICE_UNAVAILABLE, error.to_string())
+        .retry_after(UNKNOWN_RETRY_SECONDS)
 }
 
-/// Public seal keys of all services, to which operators seal secrets.
-pub(super) async fn seal_keys(shared: &AdminShared) -> Answer {
+/// Returns the public seal keys of all services, with which operators encrypt secrets.
+pub(super) async fn seal_keys(shared: &AdminShared) -> ApiResponse {
     let services = match newest(shared).await {
         Ok(whole) => whole.map(|whole| whole.snapshot.services).unwrap_or_default(),
         Err(error) => return unavailable(&error),
@@ -153,13 +154,13 @@
             Some(ServiceSealKey { service: service.name.clone(), seal_key })
         })
         .collect();
-    Answer::json(StatusCode::OK, &keys)
+    ApiResponse::json(StatusCode::OK, &keys)
 }
 
-/// The newest accepted configuration, secrets sealed, for `umberpond plan`.
-pub(super) async fn configuration(shared: &AdminShared) -> Answer {
+/// Returns the newest accepted configuration, with sealed secrets, for `umberpond plan`.
+pub(super) async fn configuration(shared: &AdminShared) -> ApiResponse {
     match configuration::read(shared).await {
-        Ok(configuration) => Answer::json(StatusCode::OK, &configuration),
+        Ok(configuration) => ApiResponse::json(StatusCode::OK, &configuration),
         Err(error) => unavailable(&error),
     }
 }
--- a/crates/operator/src/admin/configuration.rs
+++ b/crates/operator/src/admin/configuration.rs
@@ -1,4 +1,4 @@
-//! The newest accepted bundles, read from the platform for an operator's plan.
+//! Reads the newest accepted bundles from the platform, for `umberpond plan`.
 
 use std::collections::BTreeMap;
 
@@ -12,13 +12,13 @@
 use super::api::Configuration;
 use super::shared::AdminShared;
 
-/// Bundles read at once.
+/// Maximum number of bundles read concurrently.
 const CONCURRENT_READS: usize = 4;
 
 /// Reads the bundles of the newest accepted version.
 ///
 /// # Errors
-/// Returns [`ChainError`] if an object can't be read.
+/// Returns [`ChainError`] if an object is missing, damaged or can't be read.
 pub(super) async fn read(shared: &AdminShared) -> Result<Configuration, ChainError> {
     let chain = shared.acceptor.chain();
     let Some(seen) = chain.read_head().await? else { return Ok(Configuration::default()) };
--- a/crates/operator/src/admin/handler.rs
+++ b/crates/operator/src/admin/handler.rs
@@ -1,4 +1,4 @@
-//! Which path of the operators' API does what.
+//! Request routing of the operator API.
 
 use std::sync::Arc;
 
@@ -10,14 +10,14 @@
 use umberpond_store::ObjectStore;
 use umberpond_telemetry::Event;
 
-use super::answer::Answer;
+use super::response::ApiResponse;
 use super::shared::AdminShared;
 use super::{bundles, status};
 
-/// Tells milliseconds since the Unix epoch.
+/// Clock that returns milliseconds since the Unix epoch.
 pub type TimeOfDay = Arc<dyn Fn() -> u64 + Send + Sync>;
 
-/// Answers operators, readiness questions and the collection of figures.
+/// Serves the operator API, liveness and readiness probes, and metrics.
 pub struct AdminHandler {
     shared: AdminShared,
 }
@@ -29,8 +29,8 @@
 }
 
 impl AdminHandler {
-    /// Answers for `daemon`, whose versions are accepted into `store`. `clock` tells the time of day, which is written
-    /// into versions for people only; `seed` draws the waits between tries.
+    /// Creates a handler for `daemon` that accepts versions into `store`. `clock` supplies the timestamps of
+    /// versions, which are informational only; `seed` seeds the random backoff between attempts.
     #[must_use]
     pub fn new(daemon: Arc<RunningDaemon>, store: Arc<dyn ObjectStore>, clock: TimeOfDay, seed: u64) -> Self {
         let context = AcceptorContext { store: Arc::clone(&store), unix_millis: clock, seed };
@@ -38,10 +38,10 @@
         Self { shared: AdminShared { daemon, store, acceptor } }
     }
 
-    async fn route(&self, question: &HttpQuestion) -> Answer {
-        let parts: Vec<&str> = question.path.trim_matches('/').split('/').collect();
-        match (&question.method, parts.as_slice()) {
-            (&Method::GET, ["livez"]) => Answer::text(StatusCode::OK, "live\n"),
+    async fn route(&self, request: &HttpQuestion) -> ApiResponse {
+        let parts: Vec<&str> = request.path.trim_matches('/').split('/').collect();
+        match (&request.method, parts.as_slice()) {
+            (&Method::GET, ["livez"]) => ApiResponse::text(StatusCode::OK, "live\n"),
             (&Method::GET, ["readyz"]) => status::readiness(&self.shared),
             (&Method::GET, ["metrics"]) => status::metrics(&self.shared),
             (&Method::GET, ["v1", "status"]) => status::node(&self.shared).await,
@@ -50,71 +50,71 @@
             (&Method::GET, ["v1", "configuration"]) => bundles::configuration(&self.shared).await,
             (&Method::GET, ["v1", "submissions", id]) => self.resolve(id).await,
             (&Method::DELETE, ["v1", "submissions", id]) => self.abandon(id).await,
-            (&Method::PUT, ["v1", "bundles", name]) => self.submit(question, name, true).await,
-            (&Method::DELETE, ["v1", "bundles", name]) => self.submit(question, name, false).await,
+            (&Method::PUT, ["v1", "bundles", name]) => self.submit(request, name, true).await,
+            (&Method::DELETE, ["v1", "bundles", name]) => self.submit(request, name, false).await,
             (_, ["livez" | "readyz" | "metrics"])
             | (_, ["v1", "status" | "seal-keys" | "configuration"])
-            | (_, ["v1", "versions" | "submissions" | "bundles", _]) => Answer::refusal(
+            | (_, ["v1", "versions" | "submissions" | "bundles", _]) => ApiResponse::refusal(
                 StatusCode::METHOD_NOT_ALLOWED,
-                format!("{} is not allowed here", question.method),
+                format!("{} is not allowed here", request.method),
             ),
-            _ => Answer::refusal(StatusCode::NOT_FOUND, "there is no such path"),
+            _ => ApiResponse::refusal(StatusCode::NOT_FOUND, "there is no such path"),
         }
     }
 
-    async fn progress(&self, version: &str) -> Answer {
+    async fn progress(&self, version: &str) -> ApiResponse {
         match version.parse() {
             Ok(number) => status::progress(&self.shared, Version(number)).await,
-            Err(_) => Answer::refusal(StatusCode::BAD_REQUEST, "a version is a whole number"),
+            Err(_) => ApiResponse::refusal(StatusCode::BAD_REQUEST, "a version is a whole number"),
         }
     }
 
-    async fn resolve(&self, id: &str) -> Answer {
+    async fn resolve(&self, id: &str) -> ApiResponse {
         match id.parse() {
             Ok(submission) => bundles::resolve(&self.shared, submission).await,
-            Err(_) => Answer::refusal(StatusCode::BAD_REQUEST, NOT_AN_ID),
+            Err(_) => ApiResponse::refusal(StatusCode::BAD_REQUEST, INVALID_SUBMISSION_ID),
         }
     }
 
-    async fn abandon(&self, id: &str) -> Answer {
+    async fn abandon(&self, id: &str) -> ApiResponse {
         match id.parse() {
             Ok(submission) => bundles::abandon(&self.shared, submission).await,
-            Err(_) => Answer::refusal(StatusCode::BAD_REQUEST, NOT_AN_ID),
+            Err(_) => ApiResponse::refusal(StatusCode::BAD_REQUEST, INVALID_SUBMISSION_ID),
         }
     }
 
-    /// Submits the bundle in the body, or withdraws the bundle.
-    async fn submit(&self, question: &HttpQuestion, name: &str, is_submitted: bool) -> Answer {
+    /// Submits the bundle in the request body if `has_body`, or withdraws the bundle.
+    async fn submit(&self, request: &HttpQuestion, name: &str, has_body: bool) -> ApiResponse {
         let bundle = match BundleName::new(name) {
             Ok(bundle) => bundle,
-            Err(invalid) => return Answer::refusal(StatusCode::BAD_REQUEST, invalid.to_string()),
+            Err(invalid) => return ApiResponse::refusal(StatusCode::BAD_REQUEST, invalid.to_string()),
         };
-        let body = is_submitted.then(|| question.body.clone());
-        match submission_id(question) {
+        let body = has_body.then(|| request.body.clone());
+        match submission_id(request) {
             Some(submission) => bundles::submit(&self.shared, submission, bundle, body).await,
-            None => Answer::refusal(StatusCode::BAD_REQUEST, NOT_AN_ID),
+            None => ApiResponse::refusal(StatusCode::BAD_REQUEST, INVALID_SUBMISSION_ID),
         }
     }
 }
 
 #[async_trait]
 impl HttpHandler for AdminHandler {
-    async fn answer(&self, question: HttpQuestion) -> HttpAnswer {
-        let answer = self.route(&question).await;
-        let status = answer.status();
+    async fn answer(&self, request: HttpQuestion) -> HttpAnswer {
+        let response = self.route(&request).await;
+        let status = response.status();
         if status.is_client_error() {
-            let reason = format!("{} {}", question.method, question.path);
-            let refused = Event::OperatorRequestRefused { status: status.as_u16(), reason };
-            self.shared.daemon.telemetry().emit(refused);
+            let reason = format!("{} {}", request.method, request.path);
+            let event = Event::OperatorRequestRefused { status: status.as_u16(), reason };
+            self.shared.daemon.telemetry().emit(event);
         }
-        answer.into_http()
+        response.into_http()
     }
 }
 
-const NOT_AN_ID: &str = "a submission is named by up to 32 hex digits, as in `?submission=…`";
+const INVALID_SUBMISSION_ID: &str = "a submission is named by up to 32 hex digits, as in `?submission=…`";
 
-fn submission_id(question: &HttpQuestion) -> Option<SubmissionId> {
-    let query = question.query.as_deref()?;
+fn submission_id(request: &HttpQuestion) -> Option<SubmissionId> {
+    let query = request.query.as_deref()?;
     let value = query.split('&').find_map(|pair| pair.strip_prefix("submission="))?;
     value.parse().ok()
 }
--- a/crates/operator/src/admin/mod.rs
+++ b/crates/operator/src/admin/mod.rs
@@ -1,14 +1,14 @@
-//! The operators' API: JSON over HTTP.
+//! Operator API: JSON over HTTP.
 
-mod answer;
 pub mod api;
 mod bundles;
 mod configuration;
 mod handler;
+mod response;
 mod shared;
 mod status;
 
 pub use handler::{AdminHandler, TimeOfDay};
 
-/// Longest body of an operator's request, in bytes: a bundle with room to spare.
+/// Maximum body size of an operator's request, in bytes; well above the size of a bundle.
 pub const ADMIN_BODY_BYTES: usize = 8 * 1024 * 1024;
--- a/crates/operator/src/admin/answer.rs
+++ b/crates/operator/src/admin/response.rs
@@ -1,15 +1,15 @@
-//! Answers to operators.
+//! Responses of the operator API.
 
 use http::StatusCode;
 use serde::Serialize;
 use umberpond_daemon::HttpAnswer;
 
-use super::api::Refusal;
+use super::api::ErrorBody;
 
-/// An answer to an operator.
-pub(super) struct Answer(HttpAnswer);
+/// A response of the operator API.
+pub(super) struct ApiResponse(HttpAnswer);
 
-impl Answer {
+impl ApiResponse {
     pub(super) fn text(status: StatusCode, text: impl Into<bytes::Bytes>) -> Self {
         Self(HttpAnswer::text(status, text))
     }
@@ -22,7 +22,7 @@
     }
 
     pub(super) fn refusal(status: StatusCode, error: impl Into<String>) -> Self {
-        Self::json(status, &Refusal { error: error.into() })
+        Self::json(status, &ErrorBody { error: error.into() })
     }
 
     pub(super) const fn retry_after(mut self, seconds: u64) -> Self {
--- a/crates/operator/src/admin/shared.rs
+++ b/crates/operator/src/admin/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of the operators' API share.
+//! State shared by the handlers of the operator API.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use umberpond_daemon::RunningDaemon;
 use umberpond_store::ObjectStore;
 
-/// What the parts of the API share.
+/// State shared by the handlers of the operator API.
 pub(super) struct AdminShared {
     pub(super) daemon: Arc<RunningDaemon>,
     pub(super) store: Arc<dyn ObjectStore>,
--- a/crates/operator/src/admin/status.rs
+++ b/crates/operator/src/admin/status.rs
@@ -1,22 +1,22 @@
-//! State of a node, and how far a version has come.
+//! State of a node, and rollout progress of a version.
 
 use http::StatusCode;
 use umberpond_membership::{BackEndRecord, BackEndState, MemberPhase, MemberView, Reachability};
 use umberpond_model::Version;
 use umberpond_scheduling::LoadReport;
 
-use super::answer::Answer;
 use super::api::{BackEndStatus, MemberStatus, NodeStatus, Progress, Readiness};
+use super::response::ApiResponse;
 use super::shared::AdminShared;
 
-/// Most nodes that are told as being behind.
+/// Maximum number of nodes listed as being behind.
 const MAX_BEHIND: usize = 20;
 
-/// Whether callers may be sent to the node.
-pub(super) fn readiness(shared: &AdminShared) -> Answer {
+/// Returns whether the node is ready for callers, with a matching status code.
+pub(super) fn readiness(shared: &AdminShared) -> ApiResponse {
     let readiness = readiness_of(shared);
     let status = if readiness.ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-    Answer::json(status, &readiness)
+    ApiResponse::json(status, &readiness)
 }
 
 fn readiness_of(shared: &AdminShared) -> Readiness {
@@ -26,13 +26,13 @@
     }
 }
 
-/// Figures in the Prometheus text format.
-pub(super) fn metrics(shared: &AdminShared) -> Answer {
-    Answer::text(StatusCode::OK, shared.daemon.metrics())
+/// Returns the metrics in the Prometheus text format.
+pub(super) fn metrics(shared: &AdminShared) -> ApiResponse {
+    ApiResponse::text(StatusCode::OK, shared.daemon.metrics())
 }
 
-/// State of the node.
-pub(super) async fn node(shared: &AdminShared) -> Answer {
+/// Returns the state of the node.
+pub(super) async fn node(shared: &AdminShared) -> ApiResponse {
     let daemon = &shared.daemon;
     let config = daemon.config();
     let members = daemon.members().await;
@@ -47,19 +47,19 @@
         back_end: own.as_ref().map(|record| back_end(record, &daemon.load())),
         members: members.iter().map(member).collect(),
     };
-    Answer::json(StatusCode::OK, &status)
+    ApiResponse::json(StatusCode::OK, &status)
 }
 
-/// How far `version` has come, as this node sees it.
-pub(super) async fn progress(shared: &AdminShared, version: Version) -> Answer {
+/// Returns on how many nodes `version` is active, as known to this node.
+pub(super) async fn progress(shared: &AdminShared, version: Version) -> ApiResponse {
     let is_active = |active: Option<Version>| active.is_some_and(|active| active >= version);
     let mut members = shared.daemon.members().await;
     members.retain(|member| member.record.phase != MemberPhase::Left);
-    let (silent, heard): (Vec<MemberView>, Vec<MemberView>) =
+    let (silent, not_silent): (Vec<MemberView>, Vec<MemberView>) =
         members.into_iter().partition(|member| member.reachability == Reachability::Silent);
     let behind: Vec<&MemberView> =
-        heard.iter().filter(|member| !is_active(member.configuration.version)).collect();
-    let nodes = heard.len() + 1;
+        not_silent.iter().filter(|member| !is_active(member.configuration.version)).collect();
+    let nodes = not_silent.len() + 1;
     let own_behind = usize::from(!is_active(active(shared)));
     let active_count = nodes - behind.len() - own_behind;
     let progress = Progress {
@@ -70,7 +70,7 @@
         silent: count(silent.len()),
         behind: behind.into_iter().take(MAX_BEHIND).map(member).collect(),
     };
-    Answer::json(StatusCode::OK, &progress)
+    ApiResponse::json(StatusCode::OK, &progress)
 }
 
 fn active(shared: &AdminShared) -> Option<Version> {
--- a/crates/operator/src/chain_source.rs
+++ b/crates/operator/src/chain_source.rs
@@ -1,4 +1,4 @@
-//! The chain of accepted versions as the source of configurations.
+//! Configuration source that reads the chain of accepted versions.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -14,28 +14,28 @@
 use umberpond_model::{ContentHash, Head, Version};
 use umberpond_store::{ObjectKind, ObjectStore, Revision, WatchError, WatchEvent, WatchStream};
 
-/// Versions that are read step by step; for a larger gap the whole is read.
+/// Maximum number of versions read as deltas; for a larger gap the whole snapshot is read.
 const MAX_STEPS: u64 = 64;
 
-/// The newest version read, from which the next ones are reached step by step.
+/// The newest version read, to which the deltas of later versions are applied.
 #[derive(Debug, Clone)]
-struct Reached {
+struct LastRead {
     version: Version,
     snapshot: Snapshot,
 }
 
-/// A watch that stays open between two waits.
+/// A watch that is kept open between two calls of `wait`.
 struct OpenWatch {
-    /// Everything up to here has been told.
+    /// Position of the last event that was returned.
     position: Position,
     events: WatchStream,
 }
 
-/// Reads the chain of accepted versions.
+/// Configuration source that reads the chain of accepted versions.
 pub struct ChainSource {
     store: Arc<dyn ObjectStore>,
     chain: ChainReader,
-    reached: Mutex<Option<Reached>>,
+    last_read: Mutex<Option<LastRead>>,
     watch: Mutex<Option<OpenWatch>>,
 }
 
@@ -46,43 +46,44 @@
 }
 
 impl ChainSource {
-    /// Reads the chain in `store`.
+    /// Creates a source that reads the chain in `store`.
     #[must_use]
     pub fn new(store: Arc<dyn ObjectStore>) -> Self {
         let chain = ChainReader::new(Arc::clone(&store));
-        Self { store, chain, reached: Mutex::new(None), watch: Mutex::new(None) }
+        Self { store, chain, last_read: Mutex::new(None), watch: Mutex::new(None) }
     }
 
     async fn configuration(&self, head: &Head) -> Result<Sourced, SourceError> {
-        let mut reached = self.reached.lock().await;
-        let stepped = match &*reached {
-            Some(before) if before.version == head.version => Some(before.snapshot.clone()),
-            Some(before) if head.version.0.saturating_sub(before.version.0) <= MAX_STEPS => {
-                self.step_from(before, head).await
+        let mut last_read = self.last_read.lock().await;
+        let from_deltas = match &*last_read {
+            Some(base) if base.version == head.version => Some(base.snapshot.clone()),
+            Some(base) if head.version.0.saturating_sub(base.version.0) <= MAX_STEPS => {
+                self.apply_steps(base, head).await
             }
             _ => None,
         };
-        let snapshot = match stepped {
+        let snapshot = match from_deltas {
             Some(snapshot) => snapshot,
-            None => self.chain.read_whole(head.record).await.map_err(failed)?.snapshot,
+            None => self.chain.read_whole(head.record).await.map_err(source_error)?.snapshot,
         };
-        *reached = Some(Reached { version: head.version, snapshot: snapshot.clone() });
+        *last_read = Some(LastRead { version: head.version, snapshot: snapshot.clone() });
         Ok(Sourced { version: head.version, snapshot })
     }
 
-    /// The configuration of `head`, reached from an earlier one; absent if that fails or does not lead there.
-    async fn step_from(&self, before: &Reached, head: &Head) -> Option<Snapshot> {
-        if before.version > head.version {
+    /// Applies the deltas between `base` and `head`. Returns `None` if they can't be read or the result does
+    /// not have the content hash that the record of `head` states.
+    async fn apply_steps(&self, base: &LastRead, head: &Head) -> Option<Snapshot> {
+        if base.version > head.version {
             return None;
         }
-        let steps = self.chain.read_steps_after(before.version, head).await.ok()?;
-        let mut snapshot = before.snapshot.clone();
-        let mut promised: Option<ContentHash> = None;
+        let steps = self.chain.read_steps_after(base.version, head).await.ok()?;
+        let mut snapshot = base.snapshot.clone();
+        let mut expected_hash: Option<ContentHash> = None;
         for step in steps {
             snapshot = step.delta.apply(&snapshot);
-            promised = Some(step.record.snapshot);
+            expected_hash = Some(step.record.snapshot);
         }
-        (promised == Some(snapshot.content_hash())).then_some(snapshot)
+        (expected_hash == Some(snapshot.content_hash())).then_some(snapshot)
     }
 
     async fn open_watch(&self, after: Position) -> Result<OpenWatch, WatchError> {
@@ -90,9 +91,13 @@
         Ok(OpenWatch { position: after, events })
     }
 
-    /// The next change of the head within `longest`; absent if there is none.
-    async fn next_event(&self, after: Position, longest: Duration) -> Result<Option<WatchEvent>, WatchError> {
-        let deadline = Instant::now() + longest;
+    /// Waits up to `max_wait` for the next change of the head; `None` if there is none.
+    async fn next_event(
+        &self,
+        after: Position,
+        max_wait: Duration,
+    ) -> Result<Option<WatchEvent>, WatchError> {
+        let deadline = Instant::now() + max_wait;
         let mut watch = self.watch.lock().await;
         let mut open = match watch.take().filter(|open| open.position == after) {
             Some(open) => open,
@@ -117,15 +122,16 @@
 #[async_trait]
 impl ConfigurationSource for ChainSource {
     async fn read(&self) -> Result<(Option<Sourced>, Position), SourceError> {
-        let Some(HeadSeen { head, object_version }) = self.chain.read_head().await.map_err(failed)? else {
+        let Some(HeadSeen { head, object_version }) = self.chain.read_head().await.map_err(source_error)?
+        else {
             return Ok((None, Position(0)));
         };
         let sourced = self.configuration(&head).await?;
         Ok((Some(sourced), Position(object_version.revision().0)))
     }
 
-    async fn wait(&self, after: Position, longest: Duration) -> Result<Waited, SourceError> {
-        let event = match self.next_event(after, longest).await {
+    async fn wait(&self, after: Position, max_wait: Duration) -> Result<Waited, SourceError> {
+        let event = match self.next_event(after, max_wait).await {
             Ok(Some(event)) => event,
             Ok(None) => return Ok(Waited::Unchanged(after)),
             Err(WatchError::TooOld { .. }) => return Ok(Waited::Lost),
@@ -133,19 +139,19 @@
         };
         let position = Position(event.revision.0);
         let Some(value) = event.value else { return Ok(Waited::Unchanged(position)) };
-        let head = decode_head(&value).map_err(failed)?;
+        let head = decode_head(&value).map_err(source_error)?;
         let sourced = self.configuration(&head).await?;
         Ok(Waited::Changed(Box::new(sourced), position))
     }
 
     async fn position(&self) -> Result<Position, SourceError> {
-        let seen = self.chain.read_head().await.map_err(failed)?;
+        let seen = self.chain.read_head().await.map_err(source_error)?;
         Ok(Position(seen.map_or(0, |seen| seen.object_version.revision().0)))
     }
 }
 
 #[allow(clippy::needless_pass_by_value, reason = "used as a function of `map_err`")]
-fn failed(error: ChainError) -> SourceError {
+fn source_error(error: ChainError) -> SourceError {
     let reason = error.to_string();
     match error {
         ChainError::Platform(_) | ChainError::Missing { .. } => SourceError::Unavailable { reason },
--- a/crates/operator/src/collection.rs
+++ b/crates/operator/src/collection.rs
@@ -1,4 +1,4 @@
-//! Deletes the objects of versions that are no longer kept, now and then.
+//! Periodic garbage collection of the objects of versions that are no longer kept.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,11 +12,11 @@
 use umberpond_store::ObjectStore;
 use umberpond_telemetry::Event;
 
-/// Mean time between two collections of one node.
+/// Mean interval between two collections of one node.
 const INTERVAL: Duration = Duration::from_secs(3_600);
 
-/// Collects without end, whenever this node is one of those that read the store. Several nodes may collect at once,
-/// which costs calls and does no harm.
+/// Runs collections periodically, skipping them while this node does not read the store. Several nodes may
+/// collect at the same time, which costs additional requests but is harmless.
 pub async fn collect_now_and_then(daemon: Arc<RunningDaemon>, store: Arc<dyn ObjectStore>, seed: u64) {
     let chain = ChainReader::new(store);
     let mut random = SmallRng::seed_from_u64(seed);
--- a/crates/operator/src/directory.rs
+++ b/crates/operator/src/directory.rs
@@ -1,4 +1,4 @@
-//! The nodes' own entries in the product's store.
+//! Node directory in the umberpond store.
 
 use std::sync::Arc;
 
@@ -9,12 +9,12 @@
 use umberpond_membership::DirectoryEntry;
 use umberpond_store::{ObjectKind, ObjectStore, PlatformError};
 
-/// Entries read at a start. Whoever is met tells of the rest.
+/// Maximum number of entries read at a start. Nodes learn of the others through membership messages.
 const MAX_ENTRIES: usize = 48;
-/// Entries read at once.
+/// Maximum number of concurrent reads.
 const CONCURRENT_READS: usize = 4;
 
-/// The nodes as the product's store lists them.
+/// The node directory in the umberpond store.
 pub struct StoreDirectory {
     store: Arc<dyn ObjectStore>,
 }
@@ -26,7 +26,7 @@
 }
 
 impl StoreDirectory {
-    /// Reads and writes entries in `store`.
+    /// Creates a directory that reads and writes entries in `store`.
     #[must_use]
     pub const fn new(store: Arc<dyn ObjectStore>) -> Self {
         Self { store }
@@ -43,13 +43,13 @@
 
 #[async_trait]
 impl MemberDirectory for StoreDirectory {
-    async fn announce(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
-        let value = Bytes::from(serde_json::to_vec(introduction).unwrap_or_default());
-        self.replace(introduction.node.as_str(), value).await.map_err(failed)
+    async fn announce(&self, entry: &DirectoryEntry) -> Result<(), DirectoryError> {
+        let value = Bytes::from(serde_json::to_vec(entry).unwrap_or_default());
+        self.replace(entry.node.as_str(), value).await.map_err(directory_error)
     }
 
     async fn list(&self) -> Result<Listing, DirectoryError> {
-        let page = self.store.list(ObjectKind::Nodes, None, MAX_ENTRIES).await.map_err(failed)?;
+        let page = self.store.list(ObjectKind::Nodes, None, MAX_ENTRIES).await.map_err(directory_error)?;
         let names = page.items.into_iter().map(|item| item.name);
         let read = stream::iter(names)
             .map(|name| async move { self.store.get(ObjectKind::Nodes, &name).await })
@@ -57,26 +57,26 @@
         let objects: Vec<_> = read.collect().await;
         let mut introductions = Vec::with_capacity(objects.len());
         for object in objects {
-            // An entry that has gone or can't be read is passed over.
-            let value = object.map_err(failed)?.map(|object| object.value);
+            // Deleted and unreadable entries are skipped.
+            let value = object.map_err(directory_error)?.map(|object| object.value);
             introductions.extend(value.and_then(|value| serde_json::from_slice(&value).ok()));
         }
         Ok(Listing { introductions, may_be_stale: false })
     }
 
-    async fn withdraw(&self, introduction: &DirectoryEntry) -> Result<(), DirectoryError> {
-        let name = introduction.node.as_str();
-        let Some(object) = self.store.get(ObjectKind::Nodes, name).await.map_err(failed)? else {
+    async fn withdraw(&self, entry: &DirectoryEntry) -> Result<(), DirectoryError> {
+        let name = entry.node.as_str();
+        let Some(object) = self.store.get(ObjectKind::Nodes, name).await.map_err(directory_error)? else {
             return Ok(());
         };
         match self.store.delete(ObjectKind::Nodes, name, object.version).await {
             Ok(()) | Err(PlatformError::NotFound) => Ok(()),
-            Err(error) => Err(failed(error)),
+            Err(error) => Err(directory_error(error)),
         }
     }
 }
 
 #[allow(clippy::needless_pass_by_value, reason = "used as a function of `map_err`")]
-fn failed(error: PlatformError) -> DirectoryError {
+fn directory_error(error: PlatformError) -> DirectoryError {
     DirectoryError { reason: error.to_string() }
 }
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,8 +1,9 @@
-//! What operators ask of a node, and the chain of accepted versions as the source of configurations.
+//! Operator API of a node, and access to the chain of accepted versions in the store.
 //!
-//! Operators submit bundles to any node; the node's acceptor checks them with everything in force and appends a
-//! version to the chain in the store. [`ChainSource`] reads that chain for the daemon, [`StoreDirectory`] is where its
-//! nodes find one another, and [`AdminHandler`] answers the operators.
+//! Operators submit bundles to any node; the node's acceptor validates them together with the active
+//! configuration and appends a version to the chain in the store. [`ChainSource`] reads that chain for the
+//! daemon, [`StoreDirectory`] is the directory through which nodes discover each other, and [`AdminHandler`]
+//! serves the operator API.
 
 pub mod admin;
 mod chain_source;
--- a/crates/umberpond/src/cli/admin_client.rs
+++ b/crates/umberpond/src/cli/admin_client.rs
@@ -1,4 +1,4 @@
-//! Requests to a node's admin address.
+//! Client of a node's admin API.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -12,51 +12,51 @@
 use thiserror::Error;
 use tokio::time::timeout;
 use umberpond_net::{HttpClientError, TcpNetwork, collect_body, send_request};
-use umberpond_operator::admin::api::Refusal;
+use umberpond_operator::admin::api::ErrorBody;
 
-/// Admin address asked if none is given: that of examples/node.toml.
+/// Default admin address; the one in examples/node.toml.
 pub(super) const DEFAULT_NODE: SocketAddr = SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::LOCALHOST), 7103);
 
-/// Longest time for one request; above the time that a node takes for a submission at most.
+/// Timeout of a request; longer than the time a node may take for a submission.
 const REQUEST_TIMEOUT: Duration = Duration::from_secs(15);
 
-/// Largest answer, in bytes.
-const MAX_ANSWER_BYTES: usize = 64 * 1024 * 1024;
+/// Maximum size of a response, in bytes.
+const MAX_RESPONSE_BYTES: usize = 64 * 1024 * 1024;
 
-/// Redirections followed.
+/// Maximum number of redirects followed.
 const MAX_REDIRECTS: usize = 3;
 
-/// A request that got no usable answer.
+/// A request without a usable response.
 #[derive(Debug, Error, Diagnostic)]
 pub(super) enum AdminError {
-    /// Nothing was sent.
+    /// The connection could not be established; nothing was sent.
     #[error("the node at {address} can't be reached")]
     #[diagnostic(help("give a node's admin address by --node"))]
-    NotReached {
+    ConnectFailed {
         address: SocketAddr,
         #[source]
         source: HttpClientError,
     },
-    /// The request may have been processed.
-    #[error("the node at {address} gave no whole answer")]
-    Broken {
+    /// The exchange failed; the request may have been processed.
+    #[error("the node at {address} sent an incomplete response")]
+    IncompleteResponse {
         address: SocketAddr,
         #[source]
         source: HttpClientError,
     },
-    /// The request may have been processed.
-    #[error("the node at {address} gave no answer within {} s", REQUEST_TIMEOUT.as_secs())]
+    /// No response within the timeout; the request may have been processed.
+    #[error("the node at {address} sent no response within {} s", REQUEST_TIMEOUT.as_secs())]
     TimedOut { address: SocketAddr },
     /// The node refused the request.
     #[error("the node refused the request with status {status}: {reason}")]
     Refused { status: StatusCode, reason: String },
-    /// The answer is not what the operator API says.
-    #[error("the node at {address} gave an answer that this program does not understand")]
+    /// The response does not conform to the operator API.
+    #[error("the node at {address} sent a response that this program can't parse")]
     #[diagnostic(help("is this the admin address of an umberpond node of this version?"))]
-    NotUnderstood { address: SocketAddr },
+    InvalidResponse { address: SocketAddr },
 }
 
-/// Client of one node's admin address.
+/// Client of one node's admin API.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct AdminClient {
     address: SocketAddr,
@@ -67,7 +67,7 @@
         Self { address: address.unwrap_or(DEFAULT_NODE) }
     }
 
-    /// Sends a request; follows redirections to other nodes.
+    /// Sends a request and follows redirects to other nodes.
     pub(super) async fn send(
         &self,
         method: Method,
@@ -77,34 +77,35 @@
         let mut address = self.address;
         let mut path = path.to_owned();
         for _ in 0..=MAX_REDIRECTS {
-            let answer = send_once(address, &method, &path, body.clone()).await?;
-            if answer.status() != StatusCode::TEMPORARY_REDIRECT {
-                return Ok(answer);
+            let response = send_once(address, &method, &path, body.clone()).await?;
+            if response.status() != StatusCode::TEMPORARY_REDIRECT {
+                return Ok(response);
             }
-            (address, path) = redirection(&answer).ok_or(AdminError::NotUnderstood { address })?;
+            (address, path) = redirect_target(&response).ok_or(AdminError::InvalidResponse { address })?;
         }
-        Err(AdminError::NotUnderstood { address })
+        Err(AdminError::InvalidResponse { address })
     }
 
-    /// Asks for something and reads the JSON answer.
+    /// Sends a GET request and deserializes the JSON response.
     pub(super) async fn get<T: DeserializeOwned>(&self, path: &str) -> Result<T, AdminError> {
-        let answer = self.send(Method::GET, path, Bytes::new()).await?;
-        if answer.status() != StatusCode::OK {
-            return Err(self.refused(&answer));
+        let response = self.send(Method::GET, path, Bytes::new()).await?;
+        if response.status() != StatusCode::OK {
+            return Err(self.error_of(&response));
         }
-        self.read(&answer)
+        self.read(&response)
     }
 
-    /// Reads a JSON body.
-    pub(super) fn read<T: DeserializeOwned>(&self, answer: &Response<Bytes>) -> Result<T, AdminError> {
-        serde_json::from_slice(answer.body()).map_err(|_| AdminError::NotUnderstood { address: self.address })
+    /// Deserializes a JSON body.
+    pub(super) fn read<T: DeserializeOwned>(&self, response: &Response<Bytes>) -> Result<T, AdminError> {
+        serde_json::from_slice(response.body())
+            .map_err(|_| AdminError::InvalidResponse { address: self.address })
     }
 
-    /// The refusal that an answer carries.
-    pub(super) fn refused(&self, answer: &Response<Bytes>) -> AdminError {
-        match serde_json::from_slice::<Refusal>(answer.body()) {
-            Ok(refusal) => AdminError::Refused { status: answer.status(), reason: refusal.error },
-            Err(_) => AdminError::NotUnderstood { address: self.address },
+    /// Converts an error response to an [`AdminError`].
+    pub(super) fn error_of(&self, response: &Response<Bytes>) -> AdminError {
+        match serde_json::from_slice::<ErrorBody>(response.body()) {
+            Ok(refusal) => AdminError::Refused { status: response.status(), reason: refusal.error },
+            Err(_) => AdminError::InvalidResponse { address: self.address },
         }
     }
 }
@@ -120,21 +121,23 @@
         .uri(path)
         .header(HOST, address.to_string())
         .body(Full::new(body))
-        .map_err(|_| AdminError::NotUnderstood { address })?;
+        .map_err(|_| AdminError::InvalidResponse { address })?;
     let exchange = async {
         let exchange = send_request(&TcpNetwork, address, request).await?;
-        collect_body(exchange, MAX_ANSWER_BYTES).await
+        collect_body(exchange, MAX_RESPONSE_BYTES).await
     };
     match timeout(REQUEST_TIMEOUT, exchange).await {
-        Ok(Ok(answer)) => Ok(answer),
-        Ok(Err(source @ HttpClientError::Connect { .. })) => Err(AdminError::NotReached { address, source }),
-        Ok(Err(source)) => Err(AdminError::Broken { address, source }),
+        Ok(Ok(response)) => Ok(response),
+        Ok(Err(source @ HttpClientError::Connect { .. })) => {
+            Err(AdminError::ConnectFailed { address, source })
+        }
+        Ok(Err(source)) => Err(AdminError::IncompleteResponse { address, source }),
         Err(_) => Err(AdminError::TimedOut { address }),
     }
 }
 
-fn redirection(answer: &Response<Bytes>) -> Option<(SocketAddr, String)> {
-    let location: Uri = answer.headers().get(LOCATION)?.to_str().ok()?.parse().ok()?;
+fn redirect_target(response: &Response<Bytes>) -> Option<(SocketAddr, String)> {
+    let location: Uri = response.headers().get(LOCATION)?.to_str().ok()?.parse().ok()?;
     let address = location.authority()?.as_str().parse().ok()?;
     Some((address, location.path().to_owned()))
 }
--- a/crates/umberpond/src/cli/apply.rs
+++ b/crates/umberpond/src/cli/apply.rs
@@ -23,7 +23,7 @@
     change: ChangeSettings,
 }
 
-/// Settings that `apply` and `withdraw` share.
+/// Settings shared by `apply` and `withdraw`.
 pub(super) struct ChangeSettings {
     pub(super) wait: Option<String>,
     pub(super) submission: Option<String>,
@@ -43,7 +43,7 @@
     }
 }
 
-/// Reads, checks and seals the bundle, then submits it.
+/// Loads and seals the bundle, then submits it.
 pub(super) fn run(settings: &ApplySettings) -> Exit {
     let format = settings.change.format;
     let source = match BundleSource::load(&settings.directory) {
@@ -54,7 +54,7 @@
         }
     };
     runtime::block_on(async {
-        let keys = match keys_of_foreign_readers(&settings.change.client, &source).await {
+        let keys = match foreign_reader_keys(&settings.change.client, &source).await {
             Ok(keys) => keys,
             Err(error) => {
                 eprintln!("{:?}", miette::Report::new(error));
@@ -71,8 +71,8 @@
     })
 }
 
-/// Seal keys of readers that other bundles define; asks the node only if there are such readers.
-pub(super) async fn keys_of_foreign_readers(
+/// Returns the seal keys of readers that other bundles define; sends no request if there are none.
+pub(super) async fn foreign_reader_keys(
     client: &AdminClient,
     source: &BundleSource,
 ) -> Result<BTreeMap<ServiceName, SealKey>, AdminError> {
@@ -83,7 +83,7 @@
     Ok(keys.into_iter().map(|key| (key.service, key.seal_key)).collect())
 }
 
-/// Puts a bundle, or withdraws it if there is none, waits if asked to, and prints the result.
+/// Submits the bundle, or withdraws it if there is none; waits if `--wait` is given, and prints the result.
 pub(super) async fn submit(name: &str, bundle: Option<&Bundle>, settings: &ChangeSettings) -> Exit {
     let name = match BundleName::new(name) {
         Ok(name) => name,
@@ -105,7 +105,7 @@
     };
     let result = match send(&name, submission, bundle, &settings.client).await {
         Ok(result) => result,
-        Err(error) => return submission::tell_failure(settings.format, submission, error),
+        Err(error) => return submission::print_failure(settings.format, submission, error),
     };
     let progress = match (&result, limit) {
         (SubmissionResult::Accepted { version, .. }, Some(limit)) => {
@@ -114,9 +114,9 @@
         _ => None,
     };
     let has_waited = limit.is_some() && matches!(result, SubmissionResult::Accepted { .. });
-    let was_told = progress.is_some();
-    let exit = submission::tell(settings.format, SubmissionOutput { result, progress });
-    if has_waited && !was_told { Exit::NotInForce } else { exit }
+    let has_progress = progress.is_some();
+    let exit = submission::print_result(settings.format, SubmissionOutput { result, progress });
+    if has_waited && !has_progress { Exit::NotActive } else { exit }
 }
 
 async fn send(
@@ -130,6 +130,6 @@
         Some(bundle) => (Method::PUT, Bytes::from(bundle.to_bytes())),
         None => (Method::DELETE, Bytes::new()),
     };
-    let answer = client.send(method, &path, body).await?;
-    submission::read_result(client, &answer)
+    let response = client.send(method, &path, body).await?;
+    submission::read_result(client, &response)
 }
--- a/crates/umberpond/src/cli/check.rs
+++ b/crates/umberpond/src/cli/check.rs
@@ -1,4 +1,4 @@
-//! `umberpond check`: the checker, without a node.
+//! `umberpond check`: checks bundles without a node.
 
 use std::collections::BTreeMap;
 use std::path::{Path, PathBuf};
@@ -23,7 +23,7 @@
     }
 }
 
-/// What is printed if no fault was found.
+/// Output if no fault was found.
 #[derive(Debug, Serialize)]
 struct CheckOutput {
     services: usize,
@@ -31,7 +31,7 @@
     secrets: usize,
 }
 
-/// Checks each bundle, then the whole that they make together.
+/// Checks each bundle, then the configuration that they form together.
 pub(super) fn run(settings: &CheckSettings) -> Exit {
     let names = match names_of(&settings.directories) {
         Ok(names) => names,
@@ -58,12 +58,12 @@
 fn names_of(directories: &[PathBuf]) -> Result<BTreeMap<BundleName, &Path>, String> {
     let mut names = BTreeMap::new();
     for directory in directories {
-        let shown = || directory.display().to_string();
+        let displayed = || directory.display().to_string();
         let canonical = directory.canonicalize().unwrap_or_else(|_| directory.clone());
-        let last = canonical.file_name().and_then(|name| name.to_str()).ok_or_else(shown)?;
-        let name = BundleName::new(last).map_err(|_| shown())?;
+        let last = canonical.file_name().and_then(|name| name.to_str()).ok_or_else(displayed)?;
+        let name = BundleName::new(last).map_err(|_| displayed())?;
         if names.insert(name, directory.as_path()).is_some() {
-            return Err(shown());
+            return Err(displayed());
         }
     }
     if names.is_empty() { Err(String::new()) } else { Ok(names) }
@@ -71,10 +71,10 @@
 
 fn check(names: &BTreeMap<BundleName, &Path>) -> Result<CheckOutput, CheckReport> {
     let sources = load_all(names)?;
-    let stand_in = SealKeyPair::generate(&mut rand::rng()).public();
-    // The first sealing only reads the seal keys of all services; the second one uses them.
+    let placeholder_key = SealKeyPair::generate(&mut rand::rng()).public();
+    // The first pass only collects the seal keys of all services; the second one uses them.
     let keys = seal_keys(&seal_all(&sources, |source| {
-        source.foreign_readers().into_iter().map(|reader| (reader, stand_in)).collect()
+        source.foreign_readers().into_iter().map(|reader| (reader, placeholder_key)).collect()
     })?);
     let bundles = seal_all(&sources, |_| keys.clone())?;
     let snapshot = join(&bundles)?;
@@ -98,7 +98,7 @@
     sources: &BTreeMap<BundleName, BundleSource>,
     keys: impl Fn(&BundleSource) -> BTreeMap<ServiceName, SealKey>,
 ) -> Result<BTreeMap<BundleName, Arc<Bundle>>, CheckReport> {
-    // Values from the environment are not needed for a check; any value does.
+    // A check does not need the secrets from the environment; any value works.
     let any_value = |_: &str| Some(SecretValue::new(b"checked".to_vec()));
     collect(sources.iter().map(|(name, source)| {
         let bundle = source.seal(&keys(source), any_value, &mut rand::rng());
@@ -106,7 +106,7 @@
     }))
 }
 
-/// All results, or all faults of all of them.
+/// Collects all results, or the faults of all of them.
 fn collect<T>(
     results: impl Iterator<Item = (BundleName, Result<T, CheckReport>)>,
 ) -> Result<BTreeMap<BundleName, T>, CheckReport> {
--- a/crates/umberpond/src/cli/exit.rs
+++ b/crates/umberpond/src/cli/exit.rs
@@ -1,26 +1,26 @@
-//! Exit codes. They are part of the interface: scripts rest on them.
+//! Exit codes. They are part of the interface: scripts depend on them.
 
 use std::process::ExitCode;
 
-/// How a subcommand ended.
+/// Exit code of a subcommand.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// Done.
+    /// Success.
     Ok = 0,
-    /// Refused: faults were found, a submission clashes, or a replay disagrees. Nothing changed.
+    /// Refused: faults were found, a submission conflicts, or a replay differs. Nothing changed.
     Refused = 1,
-    /// The command line or the settings are faulty. Nothing was started.
+    /// The command line or the settings are invalid. Nothing was started.
     Usage = 2,
-    /// Not accepted: nothing changed, and the same can be tried again.
+    /// Not accepted: nothing changed, and a retry may succeed.
     NotAccepted = 3,
-    /// The outcome is unknown: ask with `umberpond submission ID`.
+    /// The outcome is unknown: query it with `umberpond submission ID`.
     Unknown = 4,
-    /// The node could not be reached, or answered something else than expected. Nothing was sent that changes anything.
+    /// The node could not be reached, or sent an unexpected response. No change was requested.
     Unreachable = 5,
-    /// Accepted, but not in force everywhere within `--wait`.
-    NotInForce = 6,
-    /// A node ended against plan, or had to cut requests to leave.
-    Cut = 7,
+    /// Accepted, but not active on all nodes within `--wait`.
+    NotActive = 6,
+    /// A node stopped unexpectedly, or aborted requests in flight when it stopped.
+    Aborted = 7,
 }
 
 impl From<Exit> for ExitCode {
--- a/crates/umberpond/src/cli/explain.rs
+++ b/crates/umberpond/src/cli/explain.rs
@@ -1,4 +1,5 @@
-//! `umberpond explain`: gathers the lines of one request from several nodes' logs and says where it ended, and why.
+//! `umberpond explain`: collects the log lines of one request from several nodes and reports where it ended
+//! and why.
 
 use std::fs::File;
 use std::io::{self, BufRead, BufReader};
@@ -10,7 +11,7 @@
 use super::output::Format;
 use super::{Exit, flags};
 
-/// Numbers of the events that tell how a request ended or went on; see docs/EVENTS.md.
+/// Numbers of the events about the outcome of a request; see docs/EVENTS.md.
 mod number {
     pub(super) const SERVED: u64 = 4020;
     pub(super) const GIVEN_UP: u64 = 4021;
@@ -20,7 +21,7 @@
     pub(super) const EXCHANGE_LOST: u64 = 4025;
 }
 
-/// Fields that every line has and that say nothing of the request.
+/// Fields common to all lines, which are left out of the output.
 const COMMON_FIELDS: [&str; 3] = ["event", "name", "request"];
 
 /// Settings of `umberpond explain`.
@@ -36,7 +37,7 @@
     }
 }
 
-/// One line of a log, as far as it is read here.
+/// The parts of a JSON log line that are used here.
 #[derive(Deserialize)]
 struct LogLine {
     timestamp: String,
@@ -44,11 +45,11 @@
     kvs: Map<String, Value>,
 }
 
-/// What one node said of the request.
+/// A log line of one node about the request.
 #[derive(Debug, Serialize)]
-struct Word {
+struct LogEntry {
     timestamp: String,
-    /// Name of the log file, without its ending.
+    /// Name of the log file, without its extension.
     log: String,
     event: u64,
     name: String,
@@ -56,34 +57,36 @@
     fields: Map<String, Value>,
 }
 
-/// The request's way, and how it ended.
+/// The log lines of the request, and how it ended.
 #[derive(Debug, Serialize)]
 struct Explanation {
     request: String,
     conclusion: String,
-    words: Vec<Word>,
+    #[serde(rename = "words")]
+    entries: Vec<LogEntry>,
 }
 
-/// Reads the logs and prints the explanation. Refused if no line names the request.
+/// Reads the logs and prints the explanation. Returns [`Exit::Refused`] if no line mentions the request.
 pub(super) fn run(settings: &ExplainSettings) -> Exit {
-    let mut words = Vec::new();
+    let mut entries = Vec::new();
     for file in &settings.files {
-        if let Err(error) = read(file, &settings.request, &mut words) {
+        if let Err(error) = read(file, &settings.request, &mut entries) {
             eprintln!("can't read `{}`: {error}", file.display());
             return Exit::Usage;
         }
     }
-    // Times of day of different machines differ a little; the sort is stable, so each log's own order stays.
-    words.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
-    let conclusion = conclude(&words);
-    let is_found = !words.is_empty();
-    let explanation = Explanation { request: settings.request.clone(), conclusion, words };
+    // The clocks of different machines differ slightly; the sort is stable, so lines of one log with equal
+    // times keep their order.
+    entries.sort_by(|one, other| one.timestamp.cmp(&other.timestamp));
+    let conclusion = conclude(&entries);
+    let is_found = !entries.is_empty();
+    let explanation = Explanation { request: settings.request.clone(), conclusion, entries };
     settings.format.print(&explanation, text);
     if is_found { Exit::Ok } else { Exit::Refused }
 }
 
-/// Adds the lines of `file` that name the request. Lines that are no events of this program are passed over.
-fn read(file: &Path, request: &str, words: &mut Vec<Word>) -> io::Result<()> {
+/// Adds the lines of `file` that mention the request. Skips lines that are no events of this program.
+fn read(file: &Path, request: &str, entries: &mut Vec<LogEntry>) -> io::Result<()> {
     let log = file.file_stem().unwrap_or_default().to_string_lossy().into_owned();
     for line in BufReader::new(File::open(file)?).split(b'\n') {
         let line = line?;
@@ -94,50 +97,50 @@
         let event = kvs.get("event").and_then(Value::as_u64).unwrap_or(0);
         let name = kvs.get("name").and_then(Value::as_str).unwrap_or_default().to_owned();
         kvs.retain(|field, _| !COMMON_FIELDS.contains(&field.as_str()));
-        words.push(Word { timestamp, log: log.clone(), event, name, message, fields: kvs });
+        entries.push(LogEntry { timestamp, log: log.clone(), event, name, message, fields: kvs });
     }
     Ok(())
 }
 
-/// Where the request ended and why, in a sentence.
-fn conclude(words: &[Word]) -> String {
-    let last_of = |wanted: u64| words.iter().rev().find(|word| word.event == wanted);
-    if let Some(word) = last_of(number::GIVEN_UP) {
-        return given_up(word, words);
+/// Summarizes where the request ended and why.
+fn conclude(entries: &[LogEntry]) -> String {
+    let last_of = |wanted: u64| entries.iter().rev().find(|entry| entry.event == wanted);
+    if let Some(entry) = last_of(number::GIVEN_UP) {
+        return given_up(entry, entries);
     }
-    if let Some(word) = last_of(number::SERVED) {
+    if let Some(entry) = last_of(number::SERVED) {
         return format!(
             "Answered with status {} by {} after {} ms, {} of them waiting.",
-            field(word, "status"),
-            field(word, "node"),
-            field(word, "total_millis"),
-            field(word, "waited_millis")
+            field(entry, "status"),
+            field(entry, "node"),
+            field(entry, "total_millis"),
+            field(entry, "waited_millis")
         );
     }
-    if let Some(word) = last_of(number::TURNED_AWAY) {
-        return format!("{} answered it without an attempt: {}.", word.log, field(word, "reason"));
+    if let Some(entry) = last_of(number::TURNED_AWAY) {
+        return format!("{} answered it without an attempt: {}.", entry.log, field(entry, "reason"));
     }
-    match words.last() {
-        Some(word) => format!(
-            "Its end is on none of these logs; the last word is {} by {}. One answer in 64 is logged, and event 1017 \
-             tells of lines left out.",
-            word.name, word.log
+    match entries.last() {
+        Some(entry) => format!(
+            "None of these logs shows how it ended; the last entry is {} by {}. One response in 64 is logged, and \
+             event 1017 reports suppressed lines.",
+            entry.name, entry.log
         ),
         None => {
-            "None of these logs names it. One answer in 64 is logged, and event 1017 tells of lines left out."
+            "None of these logs mentions it. One response in 64 is logged, and event 1017 reports suppressed lines."
                 .to_owned()
         }
     }
 }
 
-fn given_up(word: &Word, words: &[Word]) -> String {
-    let promise = if field(word, "outcome") == "rejected" {
+fn given_up(entry: &LogEntry, entries: &[LogEntry]) -> String {
+    let promise = if field(entry, "outcome") == "rejected" {
         "It did not run and never will"
     } else {
         "It may have run"
     };
-    let beside_back_end = words.iter().rev().find(|word| {
-        [number::ADMISSION_REFUSED, number::EXCHANGE_LOST, number::DUPLICATE_REFUSED].contains(&word.event)
+    let beside_back_end = entries.iter().rev().find(|entry| {
+        [number::ADMISSION_REFUSED, number::EXCHANGE_LOST, number::DUPLICATE_REFUSED].contains(&entry.event)
     });
     let there = match beside_back_end {
         Some(there) if there.event == number::ADMISSION_REFUSED => format!(
@@ -156,22 +159,22 @@
             field(there, "reason")
         ),
         Some(there) => format!(" {} had admitted it before.", there.log),
-        None => " No node beside a back end says anything of it.".to_owned(),
+        None => " No node beside a back end has logged anything about it.".to_owned(),
     };
     format!(
         "{promise}: {} gave it up after {} attempts and {} of {} ms, by version {}, because of {}.{there}",
-        word.log,
-        field(word, "attempts"),
-        field(word, "total_millis"),
-        field(word, "allowed_millis"),
-        field(word, "version"),
-        field(word, "reason")
+        entry.log,
+        field(entry, "attempts"),
+        field(entry, "total_millis"),
+        field(entry, "allowed_millis"),
+        field(entry, "version"),
+        field(entry, "reason")
     )
 }
 
-/// A field as text, without quotes; empty if it is missing.
-fn field(word: &Word, name: &str) -> String {
-    match word.fields.get(name) {
+/// Returns a field as text, without quotes; empty if it is missing.
+fn field(entry: &LogEntry, name: &str) -> String {
+    match entry.fields.get(name) {
         Some(Value::String(text)) => text.clone(),
         Some(other) => other.to_string(),
         None => String::new(),
@@ -180,15 +183,15 @@
 
 fn text(explanation: &Explanation) -> String {
     let mut text = format!("{}: {}", explanation.request, explanation.conclusion);
-    for word in &explanation.words {
+    for entry in &explanation.entries {
         let fields: Vec<String> =
-            word.fields.keys().map(|name| format!("{name}={}", field(word, name))).collect();
+            entry.fields.keys().map(|name| format!("{name}={}", field(entry, name))).collect();
         text.push_str(&format!(
             "\n{} {} {} {}  {}",
-            word.timestamp,
-            word.log,
-            word.event,
-            word.name,
+            entry.timestamp,
+            entry.log,
+            entry.event,
+            entry.name,
             fields.join(" ")
         ));
     }
--- a/crates/umberpond/src/cli/help.rs
+++ b/crates/umberpond/src/cli/help.rs
@@ -1,9 +1,9 @@
-//! Help for one subcommand, cut out of the help that `xflags` makes for all of them.
+//! Help for one subcommand, extracted from the help that `xflags` generates for all of them.
 
-/// Name of the program, with which each section of the help begins.
+/// Name of the program, which starts each section of the help.
 const PROGRAM: &str = "umberpond";
 
-/// The help for the subcommand named by `argument`, or an overview of all of them.
+/// Returns the help for the subcommand named `argument`, or an overview of all of them.
 pub(super) fn help_for(whole: &str, argument: Option<&str>) -> String {
     let sections = sections(whole);
     let wanted = argument.map(|name| format!("{PROGRAM} {name}"));
@@ -14,7 +14,7 @@
     }
 }
 
-/// Splits the help at each line that begins with the program's name.
+/// Splits the help at each line that starts with the program's name.
 fn sections(whole: &str) -> Vec<String> {
     let mut sections: Vec<String> = Vec::new();
     for line in whole.lines() {
@@ -29,7 +29,7 @@
     sections
 }
 
-/// The program's own section, then a line for each subcommand.
+/// Returns the program's own section, then name and purpose of each subcommand.
 fn overview(sections: &[String]) -> String {
     let Some((own, subcommands)) = sections.split_first() else { return String::new() };
     let mut overview = own.trim_end().to_owned();
--- a/crates/umberpond/src/cli/keygen.rs
+++ b/crates/umberpond/src/cli/keygen.rs
@@ -1,4 +1,4 @@
-//! `umberpond keygen`: makes a service's key pair.
+//! `umberpond keygen`: generates a service's seal key pair.
 
 use std::fs::OpenOptions;
 use std::io::{self, Write};
@@ -11,7 +11,7 @@
 use super::output::Format;
 use super::{Exit, flags};
 
-/// Only the owner may read a private key.
+/// File mode of private keys: accessible only to the owner.
 const PRIVATE_FILE_MODE: u32 = 0o600;
 
 /// Settings of `umberpond keygen`.
@@ -26,7 +26,7 @@
     }
 }
 
-/// What is printed: never the private key.
+/// Output; never contains the private key.
 #[derive(Debug, Serialize)]
 struct KeygenOutput {
     seal_key: SealKey,
--- a/crates/umberpond/src/cli/mod.rs
+++ b/crates/umberpond/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! The command line: one file a subcommand, each with its own settings.
+//! Command line: one module per subcommand, each with its own settings.
 
 mod admin_client;
 mod apply;
@@ -21,7 +21,7 @@
 pub use exit::Exit;
 use flags::UmberpondCmd;
 
-/// Reads the command line, runs the subcommand and tells how it ended.
+/// Parses the command line, runs the subcommand and returns its exit code.
 pub fn main() -> Exit {
     let flags = match flags::Umberpond::from_env() {
         Ok(flags) => flags,
--- a/crates/umberpond/src/cli/node.rs
+++ b/crates/umberpond/src/cli/node.rs
@@ -1,4 +1,4 @@
-//! `umberpond node`: runs the daemon until a signal.
+//! `umberpond node`: runs the daemon until it receives a signal.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -18,7 +18,7 @@
 
 use super::{Exit, flags};
 
-/// Settings of `umberpond node`: the settings file and the flags that win over it.
+/// Settings of `umberpond node`: the settings file and the flags that override it.
 pub(super) struct NodeSettings {
     file: Option<PathBuf>,
     overrides: Vec<SettingsOverride>,
@@ -53,7 +53,7 @@
     }
 }
 
-/// Checks the settings whole, then runs the node.
+/// Validates all settings, then runs the node.
 pub(super) fn run(settings: NodeSettings) -> Exit {
     let config = match load(settings.file.as_deref(), &settings.overrides) {
         Ok(config) => config,
@@ -62,12 +62,12 @@
             return Exit::Usage;
         }
     };
-    // One thread: a node has a small share of a core, and its work waits for others most of the time.
+    // Single-threaded: a node gets a small share of a core, and its work is mostly I/O-bound.
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("the runtime can't be started: {error}");
-            return Exit::Cut;
+            return Exit::Aborted;
         }
     };
     let telemetry = Telemetry::to_log(config.log.format, config.log.level);
@@ -76,7 +76,7 @@
     exit
 }
 
-/// The signals that concern a node.
+/// The signals that a node handles.
 struct Signals {
     terminate: Signal,
     interrupt: Signal,
@@ -92,7 +92,7 @@
         })
     }
 
-    /// Waits until the process is told to stop; meanwhile `reload` is called whenever the settings have changed.
+    /// Waits for SIGTERM or SIGINT; meanwhile calls `reload` on each SIGHUP.
     async fn stop(&mut self, reload: impl Fn()) {
         loop {
             tokio::select! {
@@ -110,7 +110,7 @@
         Ok(signals) => signals,
         Err(error) => {
             eprintln!("signals can't be received: {error}");
-            return Exit::Cut;
+            return Exit::Aborted;
         }
     };
     let daemon = match start(config, telemetry).await {
@@ -127,10 +127,10 @@
         return Exit::Ok;
     }
     eprintln!("{} requests in flight were cut", report.cut);
-    Exit::Cut
+    Exit::Aborted
 }
 
-/// Starts the daemon over the product's own store, and the operators' API.
+/// Starts the daemon with the umberpond store, and the operator API.
 async fn start(config: NodeConfig, telemetry: &Telemetry) -> Result<Arc<RunningDaemon>, StartError> {
     let network: Arc<dyn Network> = Arc::new(TcpNetwork);
     let gate = PlatformGate::new(GateLimits::default());
@@ -160,13 +160,13 @@
     Ok(daemon)
 }
 
-/// Milliseconds since the Unix epoch by this machine's clock.
+/// Returns the milliseconds since the Unix epoch by this machine's clock.
 fn unix_millis() -> u64 {
     let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
     u64::try_from(since_epoch.as_millis()).unwrap_or(u64::MAX)
 }
 
-/// Takes in settings that have changed. Settings that can't be used change nothing.
+/// Applies changed settings. Invalid settings have no effect.
 fn reload(daemon: &RunningDaemon, settings: &NodeSettings) {
     match load(settings.file.as_deref(), &settings.overrides) {
         Ok(config) => daemon.reload(&config),
--- a/crates/umberpond/src/cli/output.rs
+++ b/crates/umberpond/src/cli/output.rs
@@ -1,15 +1,15 @@
-//! Prints results: as JSON on standard output, or as text.
+//! Prints results as JSON or as text.
 
 use std::io::Write;
 
 use serde::Serialize;
 
-/// Form of a result.
+/// Output format of a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Format {
-    /// For people.
+    /// Human-readable text.
     Text,
-    /// For programs.
+    /// JSON.
     Json,
 }
 
@@ -18,7 +18,7 @@
         if json { Self::Json } else { Self::Text }
     }
 
-    /// Prints `result`, as JSON or as the text that `text` makes of it.
+    /// Prints `result` as JSON or as the text that `text` returns.
     pub(super) fn print<T: Serialize>(self, result: &T, text: impl FnOnce(&T) -> String) {
         match self {
             Self::Text => print_line(&text(result)),
@@ -38,7 +38,7 @@
     }
 }
 
-/// Prints a text and the end of its line. Whoever read standard output may have gone, which is no failure.
+/// Prints a line. A closed standard output is not treated as a failure.
 pub(super) fn print_line(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
--- a/crates/umberpond/src/cli/plan.rs
+++ b/crates/umberpond/src/cli/plan.rs
@@ -1,4 +1,4 @@
-//! `umberpond plan`: what applying a bundle would change.
+//! `umberpond plan`: shows what applying a bundle would change.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -31,25 +31,25 @@
     }
 }
 
-/// Why there is no plan.
-enum NoPlan {
-    Faulty(CheckReport),
+/// Error of making a plan.
+enum PlanError {
+    InvalidBundle(CheckReport),
     Unreachable(AdminError),
 }
 
-impl From<CheckReport> for NoPlan {
+impl From<CheckReport> for PlanError {
     fn from(report: CheckReport) -> Self {
-        Self::Faulty(report)
+        Self::InvalidBundle(report)
     }
 }
 
-impl From<AdminError> for NoPlan {
+impl From<AdminError> for PlanError {
     fn from(error: AdminError) -> Self {
         Self::Unreachable(error)
     }
 }
 
-/// Compares what is in force with what would be.
+/// Compares the active configuration with the one that applying the bundle would result in.
 pub(super) fn run(settings: &PlanSettings) -> Exit {
     let name = match BundleName::new(&settings.name) {
         Ok(name) => name,
@@ -64,11 +64,11 @@
                 settings.format.print(&plan, ToString::to_string);
                 Exit::Ok
             }
-            Err(NoPlan::Faulty(report)) => {
+            Err(PlanError::InvalidBundle(report)) => {
                 settings.format.report(report);
                 Exit::Refused
             }
-            Err(NoPlan::Unreachable(error)) => {
+            Err(PlanError::Unreachable(error)) => {
                 eprintln!("{:?}", miette::Report::new(error));
                 Exit::Unreachable
             }
@@ -76,9 +76,9 @@
     })
 }
 
-async fn make_plan(name: &BundleName, settings: &PlanSettings) -> Result<Plan, NoPlan> {
+async fn make_plan(name: &BundleName, settings: &PlanSettings) -> Result<Plan, PlanError> {
     let source = BundleSource::load(&settings.directory)?;
-    let keys = apply::keys_of_foreign_readers(&settings.client, &source).await?;
+    let keys = apply::foreign_reader_keys(&settings.client, &source).await?;
     let bundle = sealing::seal(&source, &keys)?;
     let configuration: Configuration = settings.client.get("/v1/configuration").await?;
     let mut bundles: BTreeMap<BundleName, Arc<Bundle>> =
--- a/crates/umberpond/src/cli/progress.rs
+++ b/crates/umberpond/src/cli/progress.rs
@@ -1,4 +1,4 @@
-//! Waits until a version is in force everywhere, with progress on standard error.
+//! Waits until a version is active on all nodes, and prints the progress to standard error.
 
 use std::time::Duration;
 
@@ -9,10 +9,11 @@
 use super::admin_client::AdminClient;
 use super::output::Format;
 
-/// Time between two questions.
+/// Interval between two requests.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Asks until `version` is in force everywhere or `limit` has passed; tells the last answer, if there was one.
+/// Polls until `version` is active on all nodes or `limit` has passed; returns the last response, if there
+/// was one.
 pub(super) async fn wait(
     client: &AdminClient,
     version: Version,
@@ -23,9 +24,9 @@
     let mut last: Option<Progress> = None;
     loop {
         if let Ok(progress) = client.get::<Progress>(&format!("/v1/versions/{version}")).await {
-            let is_news = last.as_ref().is_none_or(|last| last.active != progress.active);
-            if is_news && format == Format::Text {
-                eprintln!("version {version}: in force on {} of {} nodes", progress.active, progress.nodes);
+            let has_changed = last.as_ref().is_none_or(|last| last.active != progress.active);
+            if has_changed && format == Format::Text {
+                eprintln!("version {version}: active on {} of {} nodes", progress.active, progress.nodes);
             }
             let everywhere = progress.everywhere;
             last = Some(progress);
--- a/crates/umberpond/src/cli/runtime.rs
+++ b/crates/umberpond/src/cli/runtime.rs
@@ -1,8 +1,8 @@
-//! The runtime of the operators' subcommands.
+//! Runtime of the subcommands for operators.
 
 use super::Exit;
 
-/// Runs `task` on a runtime of one thread.
+/// Runs `task` on a single-threaded runtime.
 pub(super) fn block_on(task: impl Future<Output = Exit>) -> Exit {
     match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(task),
--- a/crates/umberpond/src/cli/sealing.rs
+++ b/crates/umberpond/src/cli/sealing.rs
@@ -1,4 +1,4 @@
-//! Seals the secrets of a bundle on the operator's machine. Clear values go nowhere else.
+//! Seals the secrets of a bundle on the operator's machine, which plaintext values never leave.
 
 use std::collections::BTreeMap;
 use std::os::unix::ffi::OsStringExt;
@@ -6,10 +6,10 @@
 use umberpond_config::{Bundle, BundleSource, CheckReport, SealKey, SecretValue};
 use umberpond_model::ServiceName;
 
-/// Seals the secrets of `source` to the keys of its own services and to `keys`.
+/// Seals the secrets of `source` with the seal keys of its own services and with `keys`.
 ///
 /// # Errors
-/// Returns a fault for each reader without a key and each value that is absent or unfit.
+/// Returns a fault for each reader without a key and each value that is missing or invalid.
 pub(super) fn seal(
     source: &BundleSource,
     keys: &BTreeMap<ServiceName, SealKey>,
--- a/crates/umberpond/src/cli/status.rs
+++ b/crates/umberpond/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `umberpond status`: the state of a node, or how far a version has come.
+//! `umberpond status`: prints the state of a node, or the rollout progress of a version.
 
 use std::fmt::Write;
 
@@ -26,10 +26,10 @@
     }
 }
 
-/// Asks the node and prints its answer.
+/// Requests the status from the node and prints it.
 pub(super) fn run(settings: &StatusSettings) -> Exit {
-    let asked = runtime_result(settings);
-    match asked {
+    let result = block_on_print_status(settings);
+    match result {
         Ok(()) => Exit::Ok,
         Err(error) => {
             eprintln!("{:?}", miette::Report::new(error));
@@ -38,16 +38,16 @@
     }
 }
 
-fn runtime_result(settings: &StatusSettings) -> Result<(), AdminError> {
+fn block_on_print_status(settings: &StatusSettings) -> Result<(), AdminError> {
     let mut result = Ok(());
     runtime::block_on(async {
-        result = ask(settings).await;
+        result = print_status(settings).await;
         Exit::Ok
     });
     result
 }
 
-async fn ask(settings: &StatusSettings) -> Result<(), AdminError> {
+async fn print_status(settings: &StatusSettings) -> Result<(), AdminError> {
     match settings.version {
         Some(version) => {
             let progress: Progress = settings.client.get(&format!("/v1/versions/{version}")).await?;
@@ -67,10 +67,10 @@
     let mut text = format!("{node} (beside {service}, {locality}{role})\n");
     match &readiness.reason {
         None => text.push_str("ready"),
-        // Writing to a string can't fail.
+        // Writing to a `String` can't fail.
         Some(reason) => drop(write!(text, "not ready: {reason}")),
     }
-    let _ = write!(text, "; version in force {}", version_text(status.version));
+    let _ = write!(text, "; active version {}", version_text(status.version));
     if let Some(back_end) = &status.back_end {
         let _ = write!(text, "\nback end {}", back_end_text(back_end));
     }
@@ -80,9 +80,9 @@
 
 fn progress_text(progress: &Progress) -> String {
     let Progress { version, nodes, active, silent, .. } = progress;
-    let mut text = format!("version {version}: in force on {active} of {nodes} nodes");
+    let mut text = format!("version {version}: active on {active} of {nodes} nodes");
     if *silent > 0 {
-        let _ = write!(text, "; {silent} more are not heard");
+        let _ = write!(text, "; {silent} more are silent");
     }
     text.push_str(&members_text(&progress.behind));
     text
@@ -94,7 +94,7 @@
         let version = version_text(member.version);
         let _ = write!(
             text,
-            "\n{} ({}): {}, version in force {version}",
+            "\n{} ({}): {}, active version {version}",
             member.node, member.locality, member.reachability
         );
         if let Some(back_end) = &member.back_end {
--- a/crates/umberpond/src/cli/submission.rs
+++ b/crates/umberpond/src/cli/submission.rs
@@ -1,4 +1,5 @@
-//! `umberpond submission`: what became of a submission. Also the printing of results that `apply` shares.
+//! `umberpond submission`: prints the outcome of a submission. Also prints the results of `apply` and
+//! `withdraw`.
 
 use bytes::Bytes;
 use http::{Method, Response};
@@ -27,7 +28,7 @@
     }
 }
 
-/// Asks the node.
+/// Requests the outcome of the submission from the node, or abandons the submission.
 pub(super) fn run(settings: &SubmissionSettings) -> Exit {
     let Ok(submission) = settings.id.parse::<SubmissionId>() else {
         eprintln!("`{}` is no submission identifier: it has up to 32 hex digits", settings.id);
@@ -35,9 +36,9 @@
     };
     runtime::block_on(async {
         let path = format!("/v1/submissions/{submission}");
-        let answer = settings.client.send(settings.method.clone(), &path, Bytes::new()).await;
-        match answer.and_then(|answer| read_result(&settings.client, &answer)) {
-            Ok(result) => tell(settings.format, SubmissionOutput { result, progress: None }),
+        let response = settings.client.send(settings.method.clone(), &path, Bytes::new()).await;
+        match response.and_then(|response| read_result(&settings.client, &response)) {
+            Ok(result) => print_result(settings.format, SubmissionOutput { result, progress: None }),
             Err(error) => {
                 eprintln!("{:?}", miette::Report::new(error));
                 Exit::Unreachable
@@ -46,35 +47,35 @@
     })
 }
 
-/// What `apply`, `withdraw` and `submission` print.
+/// Output of `apply`, `withdraw` and `submission`.
 #[derive(Debug, Clone, Serialize)]
 pub(super) struct SubmissionOutput {
     /// Result of the submission.
     #[serde(flatten)]
     pub(super) result: SubmissionResult,
-    /// How far the version had come at the end of `--wait`.
+    /// Rollout progress of the version at the end of `--wait`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) progress: Option<Progress>,
 }
 
-/// Reads the result of a submission, whatever the status code that goes with it.
+/// Deserializes the result of a submission, regardless of the status code.
 pub(super) fn read_result(
     client: &AdminClient,
-    answer: &Response<Bytes>,
+    response: &Response<Bytes>,
 ) -> Result<SubmissionResult, AdminError> {
-    client.read(answer).map_err(|_| client.refused(answer))
+    client.read(response).map_err(|_| client.error_of(response))
 }
 
-/// Prints a result and tells the exit code that goes with it.
-pub(super) fn tell(format: Format, output: SubmissionOutput) -> Exit {
-    let exit = exit_of(&output);
+/// Prints a result and returns the corresponding exit code.
+pub(super) fn print_result(format: Format, output: SubmissionOutput) -> Exit {
+    let exit = exit_code(&output);
     format.print(&output, |output| text_of(&output.result));
     exit
 }
 
-const fn exit_of(output: &SubmissionOutput) -> Exit {
+const fn exit_code(output: &SubmissionOutput) -> Exit {
     match (&output.result, &output.progress) {
-        (SubmissionResult::Accepted { .. }, Some(progress)) if !progress.everywhere => Exit::NotInForce,
+        (SubmissionResult::Accepted { .. }, Some(progress)) if !progress.everywhere => Exit::NotActive,
         (SubmissionResult::Accepted { .. }, _) => Exit::Ok,
         (SubmissionResult::Invalid { .. } | SubmissionResult::Conflict { .. }, _) => Exit::Refused,
         (SubmissionResult::NotAccepted { .. }, _) => Exit::NotAccepted,
@@ -117,7 +118,7 @@
     text
 }
 
-/// The submission named by a flag, or a new one; `None` if the flag is faulty.
+/// Returns the submission identifier given by a flag, or a new one; `None` if the flag is invalid.
 pub(super) fn submission_id(flag: Option<&str>) -> Option<SubmissionId> {
     match flag {
         Some(text) => text.parse().ok(),
@@ -125,15 +126,15 @@
     }
 }
 
-/// Prints a failed request for a change and tells the exit code that goes with it.
-pub(super) fn tell_failure(format: Format, submission: SubmissionId, error: AdminError) -> Exit {
+/// Prints the failure of a change request and returns the corresponding exit code.
+pub(super) fn print_failure(format: Format, submission: SubmissionId, error: AdminError) -> Exit {
     match error {
-        AdminError::Broken { .. } | AdminError::TimedOut { .. } => {
+        AdminError::IncompleteResponse { .. } | AdminError::TimedOut { .. } => {
             eprintln!("{:?}", miette::Report::new(error));
             let result = SubmissionResult::Unknown { submission };
-            tell(format, SubmissionOutput { result, progress: None })
+            print_result(format, SubmissionOutput { result, progress: None })
         }
-        AdminError::NotReached { .. } | AdminError::NotUnderstood { .. } => {
+        AdminError::ConnectFailed { .. } | AdminError::InvalidResponse { .. } => {
             eprintln!("{:?}", miette::Report::new(error));
             Exit::Unreachable
         }
--- a/crates/umberpond/src/main.rs
+++ b/crates/umberpond/src/main.rs
@@ -1,4 +1,4 @@
-//! The umberpond program: `umberpond --help` lists its subcommands.
+//! The `umberpond` binary; `umberpond --help` lists its subcommands.
 
 mod cli;
 
--- a/crates/umberpond/tests/commands.rs
+++ b/crates/umberpond/tests/commands.rs
@@ -1,4 +1,4 @@
-//! The subcommands that need no node, and what is told when there is none.
+//! Tests of the subcommands that need no node, and of the exit code when a node is unreachable.
 
 mod support;
 
@@ -8,7 +8,7 @@
 use support::{directory, json, umberpond};
 
 #[tokio::test]
-async fn help_is_told_for_every_subcommand_and_usage_faults_have_their_code() {
+async fn every_subcommand_has_help_and_usage_errors_exit_with_code_2() {
     for command in ["node", "apply", "withdraw", "status", "submission", "check", "plan", "keygen"] {
         let help = umberpond(&[command, "--help"]).await;
         assert_eq!(help.status.code(), Some(0), "{command}");
@@ -23,7 +23,7 @@
 }
 
 #[tokio::test]
-async fn every_flag_of_the_node_is_in_the_operators_page() {
+async fn every_node_flag_is_documented_for_operators() {
     let page = fs::read_to_string(concat!(env!("CARGO_MANIFEST_DIR"), "/../../docs/OPERATING.md"))
         .expect("the page can be read");
     let help = umberpond(&["node", "--help"]).await;
@@ -53,7 +53,7 @@
 }
 
 #[tokio::test]
-async fn check_accepts_the_examples_and_refuses_a_faulty_bundle() {
+async fn check_accepts_the_examples_and_rejects_a_faulty_bundle() {
     let examples = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
     let gridwell = format!("{examples}/gridwell");
     let tasmania = format!("{examples}/tasmania");
@@ -73,8 +73,8 @@
 }
 
 #[tokio::test]
-async fn an_unreachable_node_has_its_code() {
-    // Nothing listens at port 1 of the loopback address.
-    let asked = umberpond(&["status", "--node", "127.0.0.1:1"]).await;
-    assert_eq!(asked.status.code(), Some(5), "{asked:?}");
+async fn unreachable_node_exits_with_code_5() {
+    // No process listens on port 1 of the loopback address.
+    let output = umberpond(&["status", "--node", "127.0.0.1:1"]).await;
+    assert_eq!(output.status.code(), Some(5), "{output:?}");
 }
--- a/crates/umberpond/tests/explain.rs
+++ b/crates/umberpond/tests/explain.rs
@@ -1,9 +1,9 @@
-//! `umberpond explain` over the logs of several nodes.
+//! Tests of `umberpond explain` with the logs of several nodes.
 
 use std::path::{Path, PathBuf};
 use std::process::{Command, Output};
 
-/// A folder for log files that goes with the test.
+/// Temporary directory for log files, removed when dropped.
 struct Logs {
     folder: PathBuf,
 }
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn a_refusal_under_overload_is_told_with_what_the_back_ends_node_saw() {
+fn overload_refusal_is_explained_with_the_slots_and_queue_of_the_back_ends_node() {
     let logs = Logs::new("overload");
     let refused = r#""request":"r1","service":"archive","reason":"overloaded","running":18,"slots":18,"waiting":27,"patience_millis":105"#;
     let beside = logs.write(
@@ -66,11 +66,11 @@
     assert!(text.starts_with("r1: It did not run and never will: web-1 gave it up after 1 attempts and 9 of 2000 ms, by version 5, because of overloaded."), "{text}");
     assert!(text.contains("archive-1: 18 of 18 slots taken, 27 waiting, 105 ms allowed to wait"), "{text}");
     let order: Vec<&str> = text.lines().skip(1).map(|line| line.split(' ').nth(1).unwrap()).collect();
-    assert_eq!(order, ["archive-1", "web-1"], "in the order of time, and nothing of other requests");
+    assert_eq!(order, ["archive-1", "web-1"], "expected lines in time order and none of other requests");
 }
 
 #[test]
-fn a_lost_answer_is_told_as_one_that_may_have_run() {
+fn lost_response_is_explained_as_possibly_executed() {
     let logs = Logs::new("lost");
     let lost = r#""request":"r1","instance":"i-7","reason":"back-end-closed","elapsed_millis":3"#;
     let beside = logs.write("billing-1", &[line(1, 4025, "exchange-lost", lost)]);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_request_without_a_route_and_one_that_nobody_names_are_told_apart() {
+fn request_without_route_is_distinguished_from_an_unlogged_one() {
     let logs = Logs::new("route");
     let turned = r#""request":"r1","reason":"no-route""#;
     let caller = logs.write("web-1", &[line(1, 4022, "request-turned-away", turned)]);
@@ -92,6 +92,6 @@
     assert!(text.contains("web-1 answered it without an attempt: no-route"), "{text}");
     let unknown = explain("r9", &[&caller]);
     assert_eq!(unknown.status.code(), Some(1));
-    assert!(stdout(&unknown).contains("None of these logs names it"));
+    assert!(stdout(&unknown).contains("None of these logs mentions it"));
     assert_eq!(explain("r1", &[&logs.folder.join("missing.log")]).status.code(), Some(2));
 }
--- a/crates/umberpond/tests/support/mesh.rs
+++ b/crates/umberpond/tests/support/mesh.rs
@@ -1,4 +1,4 @@
-//! A small mesh: a platform, two nodes beside back ends in two zones, and an edge.
+//! A small mesh: a platform, two nodes with back ends in two zones, and an edge node.
 
 use std::fs;
 use std::net::SocketAddr;
@@ -12,8 +12,8 @@
 
 use super::{NodeProcess, NodeSettings, directory, get, json, umberpond, umberpond_with};
 
-/// The clear value of the test's secret.
-pub const CLEAR: &str = "correct-horse-battery-staple";
+/// Plaintext value of the test's secret.
+pub const PLAINTEXT: &str = "correct-horse-battery-staple";
 
 fn loopback() -> SocketAddr {
     SocketAddr::from(([127, 0, 0, 1], 0))
@@ -32,7 +32,7 @@
     Backend::start(&TcpNetwork, loopback(), settings).await.expect("the back end starts")
 }
 
-/// A platform, two nodes beside back ends and an edge.
+/// A platform, two nodes with back ends and an edge node.
 pub struct Mesh {
     pub directory: PathBuf,
     pub platform: Platform,
@@ -42,7 +42,7 @@
 }
 
 impl Mesh {
-    /// Starts everything; nothing is in force yet.
+    /// Starts all processes; no configuration is active yet.
     pub async fn start(test: &str) -> Self {
         let directory = directory(test);
         let key = directory.join("shop.key");
@@ -84,16 +84,16 @@
         self.nodes[0].address("admin").to_string()
     }
 
-    /// Applies the test's bundle and waits until it is in force everywhere.
+    /// Applies the test's bundle and waits until it is active on all nodes.
     pub async fn apply(&self) -> serde_json::Value {
         let bundle = self.directory.join("store");
         let arguments = ["apply", "store", path(&bundle), "--wait", "15s", "--node", &self.admin(), "--json"];
-        let applied = umberpond_with(&arguments, &[("STORE_TOKEN", CLEAR)]).await;
+        let applied = umberpond_with(&arguments, &[("STORE_TOKEN", PLAINTEXT)]).await;
         assert!(applied.status.success(), "{applied:?}\n{}", self.logs());
         json(&applied)
     }
 
-    /// One request through the edge.
+    /// Sends one request through the edge node.
     pub async fn call(&self, path: &str) -> Option<http::Response<bytes::Bytes>> {
         get(self.edge.address("outbound"), "web", path).await
     }
@@ -105,7 +105,7 @@
     }
 }
 
-/// A path as text.
+/// Returns a path as a string.
 pub fn path(path: &Path) -> &str {
     path.to_str().expect("the path is text")
 }
--- a/crates/umberpond/tests/support/mod.rs
+++ b/crates/umberpond/tests/support/mod.rs
@@ -1,4 +1,5 @@
-//! Real processes on loopback: the program under test, with stand-ins for the outside in the test's own process.
+//! Runs the program under test as processes on loopback, with stand-ins for external systems in the test's
+//! own process.
 #![allow(dead_code, reason = "each test file uses a part of this")]
 
 pub mod mesh;
@@ -19,15 +20,15 @@
 use tokio::time::{Instant, sleep};
 use umberpond_net::{TcpNetwork, collect_body, send_request};
 
-/// Longest time that any step of a test may take.
-pub const LIMIT: Duration = Duration::from_secs(20);
+/// Timeout of each step of a test.
+pub const STEP_TIMEOUT: Duration = Duration::from_secs(20);
 
-/// Listeners of a node.
-const LISTENERS: usize = 4;
-const POLL: Duration = Duration::from_millis(50);
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
+/// Number of listeners of a node.
+const LISTENER_COUNT: usize = 4;
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
 
-/// A fresh directory for one test.
+/// Creates an empty directory for one test.
 pub fn directory(test: &str) -> PathBuf {
     let path = Path::new(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = fs::remove_dir_all(&path);
@@ -35,7 +36,7 @@
     path
 }
 
-/// Runs a subcommand to its end.
+/// Runs a subcommand until it exits.
 pub async fn umberpond(arguments: &[&str]) -> Output {
     umberpond_with(arguments, &[]).await
 }
@@ -50,7 +51,7 @@
         .expect("the program can be run")
 }
 
-/// The JSON that a subcommand printed.
+/// Parses the JSON that a subcommand printed.
 pub fn json(output: &Output) -> Value {
     let text = String::from_utf8_lossy(&output.stdout);
     serde_json::from_str(&text)
@@ -87,7 +88,7 @@
     }
 }
 
-/// A node's process. Killed when dropped.
+/// A node process, killed when dropped.
 pub struct NodeProcess {
     child: Child,
     log: Arc<Mutex<String>>,
@@ -111,10 +112,10 @@
         let log = Arc::new(Mutex::new(String::new()));
         collect_log(&mut child, Arc::clone(&log));
         let mut node = Self { child, log, addresses: BTreeMap::new() };
-        let deadline = Instant::now() + LIMIT;
-        while node.addresses.len() < LISTENERS {
+        let deadline = Instant::now() + STEP_TIMEOUT;
+        while node.addresses.len() < LISTENER_COUNT {
             assert!(Instant::now() < deadline, "the node does not listen:\n{}", node.log());
-            sleep(POLL).await;
+            sleep(POLL_INTERVAL).await;
             node.addresses = listening(&node.log());
         }
         node
@@ -125,7 +126,7 @@
         self.addresses[listener]
     }
 
-    /// Everything logged so far.
+    /// Returns the log output so far.
     pub fn log(&self) -> String {
         self.log.lock().expect("the log's lock is sound").clone()
     }
@@ -140,7 +141,7 @@
 
     /// Sends SIGTERM.
     pub fn terminate(&self) {
-        // The standard library sends no signals; the shell's own `kill` does.
+        // The standard library can't send signals; the shell's built-in `kill` can.
         let status = Command::new("sh")
             .args(["-c", &format!("kill -TERM {}", self.child.id())])
             .status()
@@ -148,27 +149,27 @@
         assert!(status.success());
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub fn kill(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
     }
 
-    /// Waits for the process to leave.
-    pub async fn left(&mut self) -> ExitStatus {
-        let deadline = Instant::now() + LIMIT;
+    /// Waits for the process to exit.
+    pub async fn exit_status(&mut self) -> ExitStatus {
+        let deadline = Instant::now() + STEP_TIMEOUT;
         loop {
             if let Some(status) = self.child.try_wait().expect("the process can be waited for") {
                 return status;
             }
-            assert!(Instant::now() < deadline, "the node does not leave:\n{}", self.log());
-            sleep(POLL).await;
+            assert!(Instant::now() < deadline, "the node does not exit:\n{}", self.log());
+            sleep(POLL_INTERVAL).await;
         }
     }
 
-    /// Body of an admin page.
+    /// Response of the admin listener to a GET request.
     pub async fn admin(&self, path: &str) -> Response<Bytes> {
-        get(self.address("admin"), "admin", path).await.expect("the admin address answers")
+        get(self.address("admin"), "admin", path).await.expect("the admin listener responds")
     }
 
     /// Waits until the node is ready.
@@ -210,15 +211,15 @@
         .collect()
 }
 
-/// One GET request; `None` if it got no whole answer.
+/// Sends a GET request; `None` if there is no complete response.
 pub async fn get(address: SocketAddr, host: &str, path: &str) -> Option<Response<Bytes>> {
     let request =
         Request::builder().uri(path).header("host", host).body(Full::new(Bytes::new())).expect("it is valid");
     let exchange = async {
         let exchange = send_request(&TcpNetwork, address, request).await.ok()?;
-        collect_body(exchange, MAX_ANSWER_BYTES).await.ok()
+        collect_body(exchange, MAX_RESPONSE_BYTES).await.ok()
     };
-    tokio::time::timeout(LIMIT, exchange).await.ok()?
+    tokio::time::timeout(STEP_TIMEOUT, exchange).await.ok()?
 }
 
 /// Waits until `condition` holds.
@@ -226,15 +227,15 @@
     until_or(what, condition, String::new).await;
 }
 
-/// Waits until `condition` holds; tells `details` if it does not in time.
+/// Waits until `condition` holds; panics with `details` on timeout.
 pub async fn until_or<F: Future<Output = bool>>(
     what: &str,
     mut condition: impl FnMut() -> F,
     details: impl Fn() -> String,
 ) {
-    let deadline = Instant::now() + LIMIT;
+    let deadline = Instant::now() + STEP_TIMEOUT;
     while !condition().await {
         assert!(Instant::now() < deadline, "not in time: {what}\n{}", details());
-        sleep(POLL).await;
+        sleep(POLL_INTERVAL).await;
     }
 }
--- a/crates/umberpond/tests/whole_path.rs
+++ b/crates/umberpond/tests/whole_path.rs
@@ -1,15 +1,15 @@
-//! The whole path with real processes: a bundle accepted and in force, requests through it, a planned stop, and no
-//! secret in anything that people see.
+//! End-to-end tests with real processes: apply a bundle, send requests, stop a node gracefully, and check
+//! that no secret is exposed.
 
 mod support;
 
 use std::time::Duration;
 
-use support::mesh::{CLEAR, Mesh, path};
+use support::mesh::{Mesh, PLAINTEXT, path};
 use support::{umberpond_with, until_or};
 
 #[tokio::test(flavor = "multi_thread")]
-async fn bundle_is_applied_requests_pass_and_a_drain_cuts_nothing() {
+async fn applied_bundle_serves_requests_and_a_drain_aborts_none() {
     let mut mesh = Mesh::start("whole-path").await;
     let applied = mesh.apply().await;
     assert_eq!(applied["result"], "accepted");
@@ -20,20 +20,21 @@
         node.ready().await;
     }
     until_or(
-        "both back ends answer through the edge",
+        "a back end responds through the edge",
         || async {
-            let answer = mesh.call("/job/page?bytes=1000").await;
-            answer.is_some_and(|answer| answer.status() == 200)
+            let response = mesh.call("/job/page?bytes=1000").await;
+            response.is_some_and(|response| response.status() == 200)
                 && mesh.back_ends.iter().any(|back_end| !back_end.ledger().entries.is_empty())
         },
         || mesh.logs(),
     )
     .await;
-    let answer = mesh.call("/job/page?bytes=1000").await.expect("an answer");
-    assert_eq!(answer.headers()["umberpond-outcome"], "answered");
-    assert_eq!(answer.headers()["umberpond-config-version"], "1");
+    let response = mesh.call("/job/page?bytes=1000").await.expect("a response");
+    assert_eq!(response.headers()["umberpond-outcome"], "answered");
+    assert_eq!(response.headers()["umberpond-config-version"], "1");
 
-    // A long request is in flight at the node that drains; it must end whole, and new ones go elsewhere.
+    // A long request is in flight at the draining node: it must complete, and new requests go to the other
+    // node.
     let long = mesh.call("/job/long?bytes=100000&stream_millis=1500");
     let drain = async {
         tokio::time::sleep(Duration::from_millis(300)).await;
@@ -41,22 +42,22 @@
         mesh.nodes[1].address("admin")
     };
     let (long, _) = tokio::join!(long, drain);
-    let long = long.expect("the long answer is whole");
+    let long = long.expect("the long response is complete");
     assert_eq!(long.status(), 200);
     assert!(long.body().len() >= 100_000);
-    let status = mesh.nodes[0].left().await;
+    let status = mesh.nodes[0].exit_status().await;
     assert_eq!(status.code(), Some(0), "{}", mesh.nodes[0].log());
     assert!(mesh.nodes[0].has_logged("drain-finished"), "{}", mesh.nodes[0].log());
     for _ in 0..20 {
-        let answer = mesh.call("/job/after").await.expect("an answer");
-        assert_eq!(answer.status(), 200, "{answer:?}\n{}", mesh.logs());
-        assert_eq!(answer.headers()["umberpond-served-by"], "web-b");
+        let response = mesh.call("/job/after").await.expect("a response");
+        assert_eq!(response.status(), 200, "{response:?}\n{}", mesh.logs());
+        assert_eq!(response.headers()["umberpond-served-by"], "web-b");
     }
     drop(mesh.platform);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn secret_value_is_in_nothing_that_people_see() {
+async fn secret_value_is_never_exposed_in_logs_pages_or_output() {
     let mesh = Mesh::start("secrets").await;
     mesh.apply().await;
     mesh.edge.ready().await;
@@ -78,10 +79,10 @@
         vec!["plan", "store", path(&bundle), "--node", &admin],
         vec!["apply", "shop", path(&bundle), "--node", &admin],
     ] {
-        let output = umberpond_with(&arguments, &[("STORE_TOKEN", CLEAR)]).await;
+        let output = umberpond_with(&arguments, &[("STORE_TOKEN", PLAINTEXT)]).await;
         seen.push_str(&String::from_utf8_lossy(&output.stdout));
         seen.push_str(&String::from_utf8_lossy(&output.stderr));
     }
-    assert!(seen.contains("token"), "the secret's name is told");
-    assert!(!seen.contains(CLEAR), "the secret's value is told somewhere");
+    assert!(seen.contains("token"), "the output should contain the secret's name");
+    assert!(!seen.contains(PLAINTEXT), "the secret's value was exposed");
 }
