--- a/crates/operator/src/admin/api.rs
+++ b/crates/operator/src/admin/api.rs
@@ -24,8 +24,8 @@
         /// All faults that the checker found.
         report: CheckReport,
     },
-    /// The submission conflicts with the active configuration: another submission won, the bundle to withdraw
-    /// is not active, or the identifier was used before. The configuration is unchanged.
+    /// The submission conflicts with the newest accepted configuration: another submission won, the bundle to
+    /// withdraw is not active, or the identifier was used before. The configuration is unchanged.
     Conflict {
         /// The submission.
         submission: SubmissionId,
@@ -121,7 +121,7 @@
     pub back_end: Option<BackEndStatus>,
 }
 
-/// Rollout progress of one version, as known to one node.
+/// Activation progress of one version, as known to one node.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Progress {
     /// The version.
--- a/crates/operator/src/admin/bundles.rs
+++ b/crates/operator/src/admin/bundles.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// Response to a submission that would be refused again unless the configuration changes.
+/// Response to a submission that would be refused again while the configuration stays the same.
 fn refusal(submission: SubmissionId, reason: String, error: SubmitError) -> (StatusCode, SubmissionResult) {
     match error {
         SubmitError::Invalid(report) => {
--- a/crates/operator/src/admin/status.rs
+++ b/crates/operator/src/admin/status.rs
@@ -1,4 +1,4 @@
-//! State of a node, and rollout progress of a version.
+//! State of a node, and activation progress of a version.
 
 use http::StatusCode;
 use umberpond_membership::{BackEndRecord, BackEndState, MemberPhase, MemberView, Reachability};
--- a/crates/operator/src/lib.rs
+++ b/crates/operator/src/lib.rs
@@ -1,6 +1,6 @@
 //! Operator API of a node, and access to the chain of accepted versions in the store.
 //!
-//! Operators submit bundles to any node; the node's acceptor validates them together with the active
+//! Operators submit bundles to any node; the node's acceptor validates them together with the newest accepted
 //! configuration and appends a version to the chain in the store. [`ChainSource`] reads that chain for the
 //! daemon, [`StoreDirectory`] is the directory through which nodes discover each other, and [`AdminHandler`]
 //! serves the operator API.
--- a/crates/umberpond/src/cli/flags.rs
+++ b/crates/umberpond/src/cli/flags.rs
@@ -65,7 +65,7 @@
             /// Print the result as JSON.
             optional --json
         }
-        /// Withdraw an active bundle.
+        /// Withdraw an accepted bundle.
         cmd withdraw {
             /// Name of the bundle.
             required name: String
@@ -80,7 +80,7 @@
         }
         /// Show the state of a node.
         cmd status {
-            /// Show the rollout progress of this version instead.
+            /// Show the activation progress of this version instead.
             optional --version number: u64
             /// Admin address of a node.
             optional --node address: SocketAddr
--- a/crates/umberpond/src/cli/plan.rs
+++ b/crates/umberpond/src/cli/plan.rs
@@ -49,7 +49,7 @@
     }
 }
 
-/// Compares the active configuration with the one that applying the bundle would result in.
+/// Compares the newest accepted configuration with the one that applying the bundle would result in.
 pub(super) fn run(settings: &PlanSettings) -> Exit {
     let name = match BundleName::new(&settings.name) {
         Ok(name) => name,
--- a/crates/umberpond/src/cli/status.rs
+++ b/crates/umberpond/src/cli/status.rs
@@ -1,4 +1,4 @@
-//! `umberpond status`: prints the state of a node, or the rollout progress of a version.
+//! `umberpond status`: prints the state of a node, or the activation progress of a version.
 
 use std::fmt::Write;
 
--- a/crates/umberpond/src/cli/submission.rs
+++ b/crates/umberpond/src/cli/submission.rs
@@ -53,7 +53,7 @@
     /// Result of the submission.
     #[serde(flatten)]
     pub(super) result: SubmissionResult,
-    /// Rollout progress of the version at the end of `--wait`.
+    /// Activation progress of the version at the end of `--wait`.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub(super) progress: Option<Progress>,
 }
