--- a/testing/network/src/datagrams.rs
+++ b/testing/network/src/datagrams.rs
@@ -1,4 +1,4 @@
-//! Datagrams between hosts: each takes the delay of its link and may disappear.
+//! Datagrams between hosts: each is delayed by its link and may be lost.
 
 use std::io;
 use std::net::SocketAddr;
@@ -10,14 +10,14 @@
 
 use crate::Host;
 
-/// A datagram that has arrived.
+/// A received datagram.
 #[derive(Debug)]
 pub(super) struct Datagram {
     pub(super) bytes: Bytes,
     pub(super) sender: SocketAddr,
 }
 
-/// A socket for datagrams of the simulated network.
+/// A datagram socket of the simulated network.
 #[derive(Debug)]
 pub(super) struct SimDatagrams {
     pub(super) address: SocketAddr,
@@ -33,19 +33,19 @@
 
     fn send(&self, bytes: &[u8], to: SocketAddr) {
         let network = self.sender.network.clone();
-        let passage = network.fabric.lock().send_datagram(self.sender.generation, self.address, to);
-        let Some(passage) = passage else { return };
+        let delivery = network.fabric.lock().send_datagram(self.sender.generation, self.address, to);
+        let Some(delivery) = delivery else { return };
         let datagram = Datagram { bytes: Bytes::copy_from_slice(bytes), sender: self.address };
         tokio::spawn(async move {
-            tokio::time::sleep(passage.delay).await;
-            // Nobody may be there any more.
-            let _ = passage.receiver.send(datagram);
+            tokio::time::sleep(delivery.delay).await;
+            // Sending fails if the receiving socket has been closed in the meantime.
+            let _ = delivery.receiver.send(datagram);
         });
     }
 
     async fn receive(&self, buffer: &mut [u8]) -> io::Result<(usize, SocketAddr)> {
         let Some(datagram) = self.incoming.lock().await.recv().await else {
-            // The host was killed: nothing will ever arrive here again.
+            // The host was killed, so no further datagram can arrive.
             return std::future::pending().await;
         };
         let length = datagram.bytes.len().min(buffer.len());
--- a/testing/network/src/fabric.rs
+++ b/testing/network/src/fabric.rs
@@ -1,4 +1,4 @@
-//! State of all hosts, links and listeners.
+//! State of all hosts, links, listeners and datagram sockets.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -17,9 +17,9 @@
 use super::datagrams::Datagram;
 use super::stream::{SimStream, pair};
 
-/// First port given to listeners that ask for any.
+/// First port assigned to listeners that bind port 0, and to the calling side of streams.
 const FIRST_FREE_PORT: u16 = 20_000;
-/// Largest jitter added to each delivery, in microseconds.
+/// Upper bound of the random jitter added to each delivery, in microseconds.
 const MAX_JITTER_MICROS: u64 = 200;
 
 type Incoming = mpsc::UnboundedSender<(SimStream, SocketAddr)>;
@@ -30,12 +30,12 @@
     delay_between: fn(IpAddr, IpAddr) -> Millis,
     links: BTreeMap<(IpAddr, IpAddr), Arc<LinkState>>,
     hosts: BTreeMap<IpAddr, HostState>,
-    /// What each host sends through.
+    /// Send queue of each host, shared by all of its outgoing links.
     uplinks: BTreeMap<IpAddr, Arc<Uplink>>,
     listeners: BTreeMap<SocketAddr, Incoming>,
     datagrams: BTreeMap<SocketAddr, mpsc::UnboundedSender<Datagram>>,
-    /// Addresses at which streams arrive twice, and how much later the second one is.
-    doubled: BTreeMap<SocketAddr, Duration>,
+    /// Addresses whose incoming streams are duplicated, with the extra delay of the second stream.
+    duplicated: BTreeMap<SocketAddr, Duration>,
     next_port: u16,
 }
 
@@ -44,18 +44,18 @@
     generation: u64,
     alive: bool,
     frozen: bool,
-    /// Told once, at the kill or at a reset, to every stream of this generation.
-    killed: Option<watch::Sender<bool>>,
+    /// Set to true once, by a kill or a reset, to reset every open stream of the host.
+    reset_signal: Option<watch::Sender<bool>>,
 }
 
-/// The way of one datagram.
+/// Delay and receiving socket of one datagram in flight.
 #[derive(Debug)]
-pub(super) struct Passage {
+pub(super) struct DatagramDelivery {
     pub(super) delay: Duration,
     pub(super) receiver: mpsc::UnboundedSender<Datagram>,
 }
 
-/// What a host sends through, to everybody together.
+/// Send queue of a host; its bandwidth is shared by all destinations.
 #[derive(Debug, Default)]
 struct Uplink {
     state: Mutex<UplinkState>,
@@ -63,27 +63,27 @@
 
 #[derive(Debug, Default)]
 struct UplinkState {
-    /// Unlimited if absent.
+    /// Bandwidth limit; unlimited if absent.
     bytes_per_second: Option<u32>,
-    /// When everything has left that was given to it so far.
-    free_at: Option<Instant>,
+    /// When the last byte queued so far has been sent.
+    idle_at: Option<Instant>,
 }
 
 impl Uplink {
-    /// Takes `bytes` in turn; tells when the last of them has left.
+    /// Queues `bytes` behind earlier ones and returns when the last of them has been sent.
     fn send(&self, bytes: usize) -> Instant {
         let now = Instant::now();
         let mut state = self.state.lock();
         let Some(bytes_per_second) = state.bytes_per_second else { return now };
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         let sending = Duration::from_secs_f64(f64::from(bytes) / f64::from(bytes_per_second));
-        let left_at = state.free_at.unwrap_or(now).max(now) + sending;
-        state.free_at = Some(left_at);
-        left_at
+        let sent_at = state.idle_at.unwrap_or(now).max(now) + sending;
+        state.idle_at = Some(sent_at);
+        sent_at
     }
 }
 
-/// One direction between two hosts.
+/// One direction of the link between two hosts.
 #[derive(Debug)]
 pub(super) struct LinkState {
     uplink: Arc<Uplink>,
@@ -92,33 +92,33 @@
     delay: Mutex<Duration>,
     base_delay: Duration,
     jitter: Mutex<ChaCha8Rng>,
-    /// Share of the datagrams that disappear.
+    /// Fraction of datagrams that are lost.
     loss: Mutex<f64>,
     bytes: AtomicU64,
 }
 
 impl LinkState {
-    /// Waits for as long as one delivery takes, and for the end of a cut or freeze.
-    pub(super) async fn pass(&self) {
-        tokio::time::sleep(self.draw_delay()).await;
+    /// Waits for one delivery delay, then until the link is neither cut nor frozen.
+    pub(super) async fn traverse(&self) {
+        tokio::time::sleep(self.sample_delay()).await;
         self.wait_open().await;
     }
 
     /// Waits until the link is neither cut nor frozen.
     pub(super) async fn wait_open(&self) {
         let mut blocked = self.blocked.subscribe();
-        // The sender lives in `self`, so waiting can't fail.
+        // `self` owns the sender, so `wait_for` can't fail.
         let _ = blocked.wait_for(|blocked| !blocked).await;
     }
 
-    pub(super) fn draw_delay(&self) -> Duration {
+    pub(super) fn sample_delay(&self) -> Duration {
         let jitter = self.jitter.lock().random_range(0..=MAX_JITTER_MICROS);
         *self.delay.lock() + Duration::from_micros(jitter)
     }
 
-    /// When `bytes` that are sent now arrive.
+    /// Returns when `bytes` that are sent now arrive.
     pub(super) fn delivery_time(&self, bytes: usize) -> Instant {
-        self.uplink.send(bytes) + self.draw_delay()
+        self.uplink.send(bytes) + self.sample_delay()
     }
 
     pub(super) fn count(&self, bytes: usize) {
@@ -136,7 +136,7 @@
             uplinks: BTreeMap::new(),
             listeners: BTreeMap::new(),
             datagrams: BTreeMap::new(),
-            doubled: BTreeMap::new(),
+            duplicated: BTreeMap::new(),
             next_port: FIRST_FREE_PORT,
         }
     }
@@ -146,7 +146,7 @@
         if !state.alive {
             state.generation += 1;
             state.alive = true;
-            state.killed = Some(watch::Sender::new(false));
+            state.reset_signal = Some(watch::Sender::new(false));
         }
         state.generation
     }
@@ -154,8 +154,8 @@
     pub(super) fn kill(&mut self, host: IpAddr) {
         if let Some(state) = self.hosts.get_mut(&host) {
             state.alive = false;
-            if let Some(killed) = state.killed.take() {
-                killed.send_replace(true);
+            if let Some(reset_signal) = state.reset_signal.take() {
+                reset_signal.send_replace(true);
             }
         }
         self.listeners.retain(|address, _| address.ip() != host);
@@ -164,7 +164,7 @@
 
     pub(super) fn reset(&mut self, host: IpAddr) {
         if let Some(state) = self.hosts.get_mut(&host).filter(|state| state.alive) {
-            let open = state.killed.replace(watch::Sender::new(false));
+            let open = state.reset_signal.replace(watch::Sender::new(false));
             if let Some(open) = open {
                 open.send_replace(true);
             }
@@ -179,7 +179,7 @@
 
     pub(super) fn set_cut_one_way(&mut self, from: IpAddr, to: IpAddr, cut: bool) {
         *self.link(from, to).cut.lock() = cut;
-        self.refresh(from, to);
+        self.update_blocked(from, to);
     }
 
     pub(super) fn set_loss(&mut self, from: IpAddr, to: IpAddr, loss: f64) {
@@ -188,10 +188,10 @@
 
     pub(super) fn set_frozen(&mut self, host: IpAddr, frozen: bool) {
         self.hosts.entry(host).or_default().frozen = frozen;
-        let touched: Vec<_> =
+        let affected: Vec<_> =
             self.links.keys().copied().filter(|(from, to)| *from == host || *to == host).collect();
-        for (from, to) in touched {
-            self.refresh(from, to);
+        for (from, to) in affected {
+            self.update_blocked(from, to);
         }
     }
 
@@ -208,10 +208,10 @@
         Arc::clone(self.uplinks.entry(host).or_default())
     }
 
-    pub(super) fn set_doubled(&mut self, address: SocketAddr, later: Option<Millis>) {
-        match later {
-            Some(later) => self.doubled.insert(address, Duration::from_millis(later.0)),
-            None => self.doubled.remove(&address),
+    pub(super) fn set_duplicated(&mut self, address: SocketAddr, extra_delay: Option<Millis>) {
+        match extra_delay {
+            Some(extra_delay) => self.duplicated.insert(address, Duration::from_millis(extra_delay.0)),
+            None => self.duplicated.remove(&address),
         };
     }
 
@@ -239,26 +239,30 @@
     }
 
     pub(super) fn open(&mut self, from: IpAddr, generation: u64, to: SocketAddr) -> io::Result<SimStream> {
-        let caller_killed = self.killed_signal(from, generation)?;
+        let caller_reset = self.subscribe_reset(from, generation)?;
         let callee_generation = self.hosts.get(&to.ip()).map_or(0, |host| host.generation);
         let Some(incoming) = self.listeners.get(&to).cloned() else {
             return Err(io::ErrorKind::ConnectionRefused.into());
         };
-        let callee_killed = self.killed_signal(to.ip(), callee_generation)?;
-        let there = self.link(from, to.ip());
-        let back = self.link(to.ip(), from);
-        let (mut near, far) =
-            pair(Arc::clone(&there), Arc::clone(&back), caller_killed.clone(), callee_killed.clone());
-        let peer = SocketAddr::new(from, self.take_port());
+        let callee_reset = self.subscribe_reset(to.ip(), callee_generation)?;
+        let forward_link = self.link(from, to.ip());
+        let return_link = self.link(to.ip(), from);
+        let (mut caller_end, callee_end) = pair(
+            Arc::clone(&forward_link),
+            Arc::clone(&return_link),
+            caller_reset.clone(),
+            callee_reset.clone(),
+        );
+        let peer = SocketAddr::new(from, self.allocate_port());
         let refused = |_| io::Error::from(io::ErrorKind::ConnectionRefused);
-        incoming.send((far, peer)).map_err(refused)?;
-        if let Some(later) = self.doubled.get(&to).copied() {
-            let (copy, far) = pair(there, back, caller_killed, callee_killed);
-            let peer = SocketAddr::new(from, self.take_port());
-            incoming.send((far, peer)).map_err(refused)?;
-            near.double_over(copy, later);
+        incoming.send((callee_end, peer)).map_err(refused)?;
+        if let Some(extra_delay) = self.duplicated.get(&to).copied() {
+            let (mirror, callee_end) = pair(forward_link, return_link, caller_reset, callee_reset);
+            let peer = SocketAddr::new(from, self.allocate_port());
+            incoming.send((callee_end, peer)).map_err(refused)?;
+            caller_end.mirror_writes_to(mirror, extra_delay);
         }
-        Ok(near)
+        Ok(caller_end)
     }
 
     pub(super) fn listen(
@@ -266,8 +270,8 @@
         generation: u64,
         at: SocketAddr,
     ) -> io::Result<(SocketAddr, mpsc::UnboundedReceiver<(SimStream, SocketAddr)>)> {
-        self.killed_signal(at.ip(), generation)?;
-        let port = if at.port() == 0 { self.take_port() } else { at.port() };
+        self.subscribe_reset(at.ip(), generation)?;
+        let port = if at.port() == 0 { self.allocate_port() } else { at.port() };
         let address = SocketAddr::new(at.ip(), port);
         if self.listeners.contains_key(&address) {
             return Err(io::ErrorKind::AddrInUse.into());
@@ -282,8 +286,8 @@
         generation: u64,
         at: SocketAddr,
     ) -> io::Result<(SocketAddr, mpsc::UnboundedReceiver<Datagram>)> {
-        self.killed_signal(at.ip(), generation)?;
-        let port = if at.port() == 0 { self.take_port() } else { at.port() };
+        self.subscribe_reset(at.ip(), generation)?;
+        let port = if at.port() == 0 { self.allocate_port() } else { at.port() };
         let address = SocketAddr::new(at.ip(), port);
         if self.datagrams.get(&address).is_some_and(|open| !open.is_closed()) {
             return Err(io::ErrorKind::AddrInUse.into());
@@ -293,36 +297,36 @@
         Ok((address, receiver))
     }
 
-    /// The way of a datagram that is sent now; absent if it disappears.
+    /// Returns the delivery of a datagram that is sent now, or `None` if it is lost.
     pub(super) fn send_datagram(
         &mut self,
         generation: u64,
         from: SocketAddr,
         to: SocketAddr,
-    ) -> Option<Passage> {
-        self.killed_signal(from.ip(), generation).ok()?;
+    ) -> Option<DatagramDelivery> {
+        self.subscribe_reset(from.ip(), generation).ok()?;
         let link = self.link(from.ip(), to.ip());
         let receiver = self.datagrams.get(&to)?.clone();
         let is_lost = link.jitter.lock().random_bool(*link.loss.lock());
         let is_blocked = *link.blocked.borrow();
-        let delay = link.draw_delay();
-        (!is_lost && !is_blocked).then_some(Passage { delay, receiver })
+        let delay = link.sample_delay();
+        (!is_lost && !is_blocked).then_some(DatagramDelivery { delay, receiver })
     }
 
     pub(super) fn stop_listening(&mut self, address: SocketAddr) {
-        // After a restart the address may belong to the next process already.
+        // After a restart a listener of the next process may already use the address.
         if self.listeners.get(&address).is_some_and(mpsc::UnboundedSender::is_closed) {
             self.listeners.remove(&address);
         }
     }
 
-    fn killed_signal(&self, host: IpAddr, generation: u64) -> io::Result<watch::Receiver<bool>> {
+    fn subscribe_reset(&self, host: IpAddr, generation: u64) -> io::Result<watch::Receiver<bool>> {
         let state = self.hosts.get(&host).filter(|state| state.alive && state.generation == generation);
-        let killed = state.and_then(|state| state.killed.as_ref());
-        killed.map(watch::Sender::subscribe).ok_or_else(|| io::ErrorKind::ConnectionRefused.into())
+        let reset_signal = state.and_then(|state| state.reset_signal.as_ref());
+        reset_signal.map(watch::Sender::subscribe).ok_or_else(|| io::ErrorKind::ConnectionRefused.into())
     }
 
-    fn refresh(&mut self, from: IpAddr, to: IpAddr) {
+    fn update_blocked(&mut self, from: IpAddr, to: IpAddr) {
         let frozen = self.is_frozen(from) || self.is_frozen(to);
         let link = self.link(from, to);
         let blocked = frozen || *link.cut.lock();
@@ -333,7 +337,7 @@
         self.hosts.get(&host).is_some_and(|state| state.frozen)
     }
 
-    fn take_port(&mut self) -> u16 {
+    fn allocate_port(&mut self) -> u16 {
         let port = self.next_port;
         self.next_port = self.next_port.checked_add(1).unwrap_or(FIRST_FREE_PORT);
         port
--- a/testing/network/src/lib.rs
+++ b/testing/network/src/lib.rs
@@ -1,8 +1,9 @@
-//! In-memory links on tokio's paused clock: delay, bandwidth, cut, freeze, kill.
+//! In-memory network on tokio's paused clock, with link delay, bandwidth limits and fault injection.
 //!
 //! One [`SimNetwork`] holds all hosts of a run; a host is an IP address. A stream delivers each written chunk
-//! after the delay of its link, in order. While a link is cut or a host frozen, chunks wait and come late when
-//! the fault ends, as a retransmitting transport would deliver them. Killing a host resets all of its streams.
+//! after the delay of its link, in order. While a link is cut or a host is frozen, chunks are held and
+//! delivered when the fault ends, as by a transport that retransmits. Datagrams sent in that time are lost.
+//! Killing a host resets all of its streams.
 
 mod datagrams;
 mod fabric;
@@ -29,84 +30,85 @@
 }
 
 impl SimNetwork {
-    /// A network whose links all have the delay that `delay_between` gives; `seed` draws the jitter.
+    /// Creates a network whose link delays are given by `delay_between`. `seed` determines jitter and loss.
     #[must_use]
     pub fn new(seed: u64, delay_between: fn(IpAddr, IpAddr) -> Millis) -> Self {
         Self { fabric: Arc::new(Mutex::new(Fabric::new(seed, delay_between))) }
     }
 
-    /// The network as the process at `host` sees it. A host that was killed is alive again from here on.
+    /// Returns the network interface of the process at `host`. Restarts the host if it was killed.
     #[must_use]
     pub fn host(&self, host: IpAddr) -> Arc<dyn Network> {
         let generation = self.fabric.lock().start_host(host);
         Arc::new(Host { network: self.clone(), address: host, generation })
     }
 
-    /// Ends the process at `host` for the outside: its streams are reset, its listeners refuse.
+    /// Kills the process at `host` as seen by others: its streams are reset and new connections refused.
     pub fn kill(&self, host: IpAddr) {
         self.fabric.lock().kill(host);
     }
 
-    /// Resets every stream that is open from or to `host`; its process goes on.
+    /// Resets every open stream from or to `host`; its process keeps running.
     pub fn reset(&self, host: IpAddr) {
         self.fabric.lock().reset(host);
     }
 
-    /// Cuts the link from one host to another; the other direction goes on.
+    /// Cuts the link in the direction `from` to `to`; the other direction is unaffected.
     pub fn cut_one_way(&self, from: IpAddr, to: IpAddr) {
         self.fabric.lock().set_cut_one_way(from, to, true);
     }
 
-    /// Lets the share `loss` of the datagrams from one host to another disappear.
-    pub fn lose(&self, from: IpAddr, to: IpAddr, loss: f64) {
+    /// Sets the fraction of datagrams that are lost in the direction `from` to `to`.
+    pub fn set_datagram_loss(&self, from: IpAddr, to: IpAddr, loss: f64) {
         self.fabric.lock().set_loss(from, to, loss);
     }
 
-    /// Cuts the link between two hosts, both ways.
+    /// Cuts the link between two hosts in both directions.
     pub fn cut(&self, one: IpAddr, other: IpAddr) {
         self.fabric.lock().set_cut(one, other, true);
     }
 
-    /// Mends the link between two hosts.
+    /// Restores the link between two hosts in both directions.
     pub fn mend(&self, one: IpAddr, other: IpAddr) {
         self.fabric.lock().set_cut(one, other, false);
     }
 
-    /// Stops everything from and to `host` until [`SimNetwork::thaw`].
+    /// Blocks all traffic from and to `host` until [`SimNetwork::thaw`]: stream data is held, datagrams are
+    /// lost.
     pub fn freeze(&self, host: IpAddr) {
         self.fabric.lock().set_frozen(host, true);
     }
 
-    /// Lets everything that waited from and to `host` go on.
+    /// Unblocks the traffic of a frozen `host` and delivers held stream data.
     pub fn thaw(&self, host: IpAddr) {
         self.fabric.lock().set_frozen(host, false);
     }
 
-    /// Adds `extra` to the delay of everything that is sent from now on from `from` to `to`. Streams that are
-    /// opened later are not slowed by earlier ones, so messages of two streams cross.
+    /// Adds `extra` to the link's base delay for everything sent from now on in the direction `from` to `to`.
+    /// Order is kept only within one stream, so messages of two streams may arrive out of order.
     pub fn slow(&self, from: IpAddr, to: IpAddr, extra: Millis) {
         self.fabric.lock().set_extra_delay(from, to, extra);
     }
 
-    /// Lets the streams from `host`, all together, carry no more than so many bytes a second.
+    /// Limits the total rate of all streams from `host` to other hosts.
     pub fn limit_bandwidth(&self, host: IpAddr, bytes_per_second: u32) {
         self.fabric.lock().set_bandwidth(host, bytes_per_second);
     }
 
-    /// Lets every stream that is opened to `address` from now on arrive twice: what is written to it also goes over a
-    /// second stream, later by the given time, whose answers nobody sees. `None` ends it.
-    pub fn double(&self, address: SocketAddr, later: Option<Millis>) {
-        self.fabric.lock().set_doubled(address, later);
+    /// Duplicates every stream that is opened to `address` from now on: writes of the caller also go to a
+    /// second stream, `extra_delay` later, whose responses are discarded. `None` ends the duplication.
+    pub fn duplicate_streams(&self, address: SocketAddr, extra_delay: Option<Millis>) {
+        self.fabric.lock().set_duplicated(address, extra_delay);
     }
 
-    /// Bytes written so far from `from` to `to`.
+    /// Stream bytes written so far in the direction `from` to `to`.
     #[must_use]
     pub fn bytes_sent(&self, from: IpAddr, to: IpAddr) -> u64 {
         self.fabric.lock().bytes_sent(from, to)
     }
 }
 
-/// One process's view of the network.
+/// Network interface of one process of a host; `generation` counts the processes of the host.
 #[derive(Debug, Clone)]
 struct Host {
     network: SimNetwork,
@@ -118,9 +120,9 @@
 impl Network for Host {
     async fn connect(&self, to: SocketAddr) -> io::Result<BoxStream> {
         let link = self.network.fabric.lock().link(self.address, to.ip());
-        // One way there and one back, as in a handshake; a cut link keeps the caller waiting.
-        link.pass().await;
-        link.pass().await;
+        // One round trip as in a handshake. While the link from the caller is cut, the caller waits.
+        link.traverse().await;
+        link.traverse().await;
         let mut fabric = self.network.fabric.lock();
         let stream = fabric.open(self.address, self.generation, to)?;
         Ok(Box::new(stream))
@@ -138,7 +140,7 @@
     }
 }
 
-/// A listener of the simulated network; its address is free again once it is dropped.
+/// A stream listener of the simulated network; dropping it releases its address.
 #[derive(Debug)]
 struct SimListener {
     address: SocketAddr,
@@ -155,7 +157,7 @@
     async fn accept(&mut self) -> io::Result<(BoxStream, SocketAddr)> {
         match self.incoming.recv().await {
             Some((stream, peer)) => Ok((Box::new(stream), peer)),
-            // The host was killed: nothing will ever be accepted here again.
+            // The host was killed, so no further stream can be accepted.
             None => std::future::pending().await,
         }
     }
--- a/testing/network/src/stream.rs
+++ b/testing/network/src/stream.rs
@@ -1,4 +1,4 @@
-//! A stream between two hosts: two one-way pipes over the links' delays.
+//! A stream between two hosts: two one-way pipes, each with the delay of its link.
 
 use std::collections::VecDeque;
 use std::future::Future;
@@ -16,21 +16,21 @@
 
 use super::LinkState;
 
-/// Bytes that may wait in one direction before the writer must wait, as with a socket buffer.
+/// Capacity of one direction, like that of a socket buffer; writers wait while it is full.
 const PIPE_CAPACITY_BYTES: usize = 256 * 1024;
 
-type Waiting = Pin<Box<dyn Future<Output = ()> + Send>>;
+type BoxedSignal = Pin<Box<dyn Future<Output = ()> + Send>>;
 
 #[derive(Debug, Default)]
 struct Pipe {
     chunks: VecDeque<Chunk>,
-    waiting_bytes: usize,
+    buffered_bytes: usize,
     last_delivery: Option<Instant>,
-    /// The writer has ended its direction, or is gone.
+    /// The writer has shut down its direction or was dropped.
     ended: bool,
-    /// The reader is gone: writing is in vain.
-    unread: bool,
-    /// What is written disappears: the reading end is the copy of a doubled stream.
+    /// The reader was dropped; writes fail with a broken pipe.
+    reader_dropped: bool,
+    /// Written bytes are discarded, because the reading end is the mirror of a duplicated stream.
     discarding: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
@@ -39,7 +39,7 @@
 #[derive(Debug)]
 struct Chunk {
     deliver_at: Instant,
-    /// Empty: the end of the direction.
+    /// Empty bytes mark the end of the stream.
     bytes: Bytes,
 }
 
@@ -48,10 +48,10 @@
         if self.discarding {
             return;
         }
-        // A transport keeps order: nothing overtakes inside one stream.
+        // Chunks of one stream are delivered in the order in which they were written.
         let deliver_at = self.last_delivery.map_or(deliver_at, |last| last.max(deliver_at));
         self.last_delivery = Some(deliver_at);
-        self.waiting_bytes += bytes.len();
+        self.buffered_bytes += bytes.len();
         self.chunks.push_back(Chunk { deliver_at, bytes });
         wake(&mut self.reader);
     }
@@ -70,16 +70,16 @@
     read_link: Arc<LinkState>,
     write_link: Arc<LinkState>,
     delivery: Option<Pin<Box<Sleep>>>,
-    opening: Option<Waiting>,
-    killed_signal: Waiting,
+    link_open: Option<BoxedSignal>,
+    reset_signal: BoxedSignal,
     is_reset: bool,
-    copy: Option<SecondStream>,
+    mirror: Option<MirrorStream>,
 }
 
-/// A second stream that gets all that is written to the first, later.
-struct SecondStream {
+/// A second stream that receives all writes of the first one after an extra delay.
+struct MirrorStream {
     stream: Box<SimStream>,
-    later: Duration,
+    extra_delay: Duration,
 }
 
 impl std::fmt::Debug for SimStream {
@@ -88,66 +88,66 @@
     }
 }
 
-/// The two ends of a new stream: the caller's and the callee's.
+/// Creates a stream and returns its ends: the caller's and the callee's.
 pub(super) fn pair(
-    there: Arc<LinkState>,
-    back: Arc<LinkState>,
-    caller_killed: watch::Receiver<bool>,
-    callee_killed: watch::Receiver<bool>,
+    forward_link: Arc<LinkState>,
+    return_link: Arc<LinkState>,
+    caller_reset: watch::Receiver<bool>,
+    callee_reset: watch::Receiver<bool>,
 ) -> (SimStream, SimStream) {
-    let forth_pipe = Arc::new(Mutex::new(Pipe::default()));
-    let back_pipe = Arc::new(Mutex::new(Pipe::default()));
-    let either_killed = |one: &watch::Receiver<bool>, other: &watch::Receiver<bool>| {
+    let forward_pipe = Arc::new(Mutex::new(Pipe::default()));
+    let return_pipe = Arc::new(Mutex::new(Pipe::default()));
+    let either_reset = |one: &watch::Receiver<bool>, other: &watch::Receiver<bool>| {
         let (mut one, mut other) = (one.clone(), other.clone());
-        let signal: Waiting = Box::pin(async move {
+        let signal: BoxedSignal = Box::pin(async move {
             tokio::select! {
                 biased;
-                _ = one.wait_for(|killed| *killed) => {}
-                _ = other.wait_for(|killed| *killed) => {}
+                _ = one.wait_for(|reset| *reset) => {}
+                _ = other.wait_for(|reset| *reset) => {}
             }
         });
         signal
     };
-    let near = SimStream {
-        read: Arc::clone(&back_pipe),
-        write: Arc::clone(&forth_pipe),
-        read_link: Arc::clone(&back),
-        write_link: Arc::clone(&there),
+    let caller_end = SimStream {
+        read: Arc::clone(&return_pipe),
+        write: Arc::clone(&forward_pipe),
+        read_link: Arc::clone(&return_link),
+        write_link: Arc::clone(&forward_link),
         delivery: None,
-        opening: None,
-        killed_signal: either_killed(&caller_killed, &callee_killed),
+        link_open: None,
+        reset_signal: either_reset(&caller_reset, &callee_reset),
         is_reset: false,
-        copy: None,
+        mirror: None,
     };
-    let far = SimStream {
-        read: forth_pipe,
-        write: back_pipe,
-        read_link: there,
-        write_link: back,
+    let callee_end = SimStream {
+        read: forward_pipe,
+        write: return_pipe,
+        read_link: forward_link,
+        write_link: return_link,
         delivery: None,
-        opening: None,
-        killed_signal: either_killed(&callee_killed, &caller_killed),
+        link_open: None,
+        reset_signal: either_reset(&callee_reset, &caller_reset),
         is_reset: false,
-        copy: None,
+        mirror: None,
     };
-    (near, far)
+    (caller_end, callee_end)
 }
 
 impl SimStream {
-    /// Lets all that is written from here on go over `stream` too, later; what comes back over it disappears.
-    pub(super) fn double_over(&mut self, stream: SimStream, later: Duration) {
+    /// Mirrors all further writes to `stream`, `extra_delay` later, and discards what `stream` receives.
+    pub(super) fn mirror_writes_to(&mut self, stream: SimStream, extra_delay: Duration) {
         stream.read.lock().discarding = true;
-        self.copy = Some(SecondStream { stream: Box::new(stream), later });
+        self.mirror = Some(MirrorStream { stream: Box::new(stream), extra_delay });
     }
 
-    /// Whether either side's process was killed.
+    /// Returns whether the stream was reset because either side's host was killed or reset.
     fn poll_reset(&mut self, context: &mut Context<'_>) -> bool {
-        // A future must not be polled again once it has ended.
-        self.is_reset = self.is_reset || self.killed_signal.as_mut().poll(context).is_ready();
+        // A future must not be polled again after it has completed.
+        self.is_reset = self.is_reset || self.reset_signal.as_mut().poll(context).is_ready();
         self.is_reset
     }
 
-    /// Waits for the front chunk's time of delivery and for an open link.
+    /// Waits for the front chunk's delivery time, then until the link is neither cut nor frozen.
     fn poll_delivery(&mut self, context: &mut Context<'_>, deliver_at: Instant) -> Poll<()> {
         if Instant::now() < deliver_at {
             let sleep = self.delivery.get_or_insert_with(|| Box::pin(sleep_until(deliver_at)));
@@ -160,11 +160,11 @@
         }
         self.delivery = None;
         let link = Arc::clone(&self.read_link);
-        let opening = self.opening.get_or_insert_with(|| Box::pin(async move { link.wait_open().await }));
-        if opening.as_mut().poll(context).is_pending() {
+        let link_open = self.link_open.get_or_insert_with(|| Box::pin(async move { link.wait_open().await }));
+        if link_open.as_mut().poll(context).is_pending() {
             return Poll::Pending;
         }
-        self.opening = None;
+        self.link_open = None;
         Poll::Ready(())
     }
 }
@@ -194,7 +194,7 @@
         let mut pipe = self.read.lock();
         let Some(chunk) = pipe.chunks.front_mut() else { return Poll::Pending };
         if chunk.bytes.is_empty() {
-            // The end stays in the pipe, so that every later read sees it too.
+            // The end marker stays in the pipe, so that later reads return the end of the stream too.
             return Poll::Ready(Ok(()));
         }
         let count = chunk.bytes.len().min(buffer.remaining());
@@ -203,7 +203,7 @@
         if chunk.bytes.is_empty() {
             pipe.chunks.pop_front();
         }
-        pipe.waiting_bytes -= count;
+        pipe.buffered_bytes -= count;
         wake(&mut pipe.writer);
         Poll::Ready(Ok(()))
     }
@@ -219,22 +219,22 @@
             return Poll::Ready(Err(reset()));
         }
         let mut pipe = self.write.lock();
-        if pipe.unread || pipe.ended {
+        if pipe.reader_dropped || pipe.ended {
             return Poll::Ready(Err(io::ErrorKind::BrokenPipe.into()));
         }
-        let room = PIPE_CAPACITY_BYTES.saturating_sub(pipe.waiting_bytes);
-        if room == 0 {
+        let free_bytes = PIPE_CAPACITY_BYTES.saturating_sub(pipe.buffered_bytes);
+        if free_bytes == 0 {
             pipe.writer = Some(context.waker().clone());
             return Poll::Pending;
         }
-        let count = bytes.len().min(room);
+        let count = bytes.len().min(free_bytes);
         if count > 0 {
             let written = Bytes::copy_from_slice(&bytes[..count]);
             let delivery_time = self.write_link.delivery_time(count);
             pipe.push(delivery_time, written.clone());
             self.write_link.count(count);
-            if let Some(copy) = &self.copy {
-                copy.stream.write.lock().push(delivery_time + copy.later, written);
+            if let Some(mirror) = &self.mirror {
+                mirror.stream.write.lock().push(delivery_time + mirror.extra_delay, written);
             }
         }
         Poll::Ready(Ok(count))
@@ -258,8 +258,8 @@
             pipe.push(self.write_link.delivery_time(0), Bytes::new());
         }
         drop(pipe);
-        if let Some(copy) = &self.copy {
-            copy.stream.end_writing();
+        if let Some(mirror) = &self.mirror {
+            mirror.stream.end_writing();
         }
     }
 }
@@ -268,7 +268,7 @@
     fn drop(&mut self) {
         self.end_writing();
         let mut pipe = self.read.lock();
-        pipe.unread = true;
+        pipe.reader_dropped = true;
         pipe.chunks.clear();
         wake(&mut pipe.writer);
     }
--- a/testing/network/tests/network.rs
+++ b/testing/network/tests/network.rs
@@ -1,4 +1,4 @@
-//! The simulated links: order, delay, cut, freeze, kill, and the same trace for the same seed.
+//! Simulated streams and datagrams: order, delay, flow control, cut, freeze, loss, reset and kill.
 
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn bytes_come_in_order_after_the_delay_and_the_end_is_seen() {
+async fn a_stream_delivers_bytes_in_order_after_the_delay_and_then_ends() {
     let network = network();
     let (mut client, mut server) = connected(&network).await;
     let sent_at = Instant::now();
@@ -41,7 +41,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_cut_holds_bytes_back_and_delivers_them_late() {
+async fn a_cut_link_holds_bytes_and_delivers_them_when_restored() {
     let network = network();
     let (mut client, mut server) = connected(&network).await;
     network.cut(CLIENT, SERVER);
@@ -68,7 +68,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_kill_resets_streams_refuses_new_ones_and_outlaws_the_old_process() {
+async fn a_kill_resets_streams_refuses_new_ones_and_disconnects_the_old_process() {
     let network = network();
     let old_process = network.host(SERVER);
     let (mut client, _server) = connected(&network).await;
@@ -97,41 +97,41 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn datagrams_take_the_delay_and_disappear_when_the_link_says_so() {
+async fn datagrams_are_delayed_and_lost_while_the_link_is_cut_or_lossy() {
     let network = SimNetwork::new(7, |_, _| Millis(3));
     let (one, other): (IpAddr, IpAddr) = ([10, 0, 0, 1].into(), [10, 0, 0, 2].into());
-    let (near, far) = (network.host(one), network.host(other));
-    let sender = near.datagrams(SocketAddr::new(one, 7)).await.unwrap();
-    let receiver = far.datagrams(SocketAddr::new(other, 7)).await.unwrap();
-    let began = tokio::time::Instant::now();
+    let (sender_host, receiver_host) = (network.host(one), network.host(other));
+    let sender = sender_host.datagrams(SocketAddr::new(one, 7)).await.unwrap();
+    let receiver = receiver_host.datagrams(SocketAddr::new(other, 7)).await.unwrap();
+    let sent_at = tokio::time::Instant::now();
     sender.send(b"a", receiver.local_addr());
     let mut buffer = [0; 16];
     let (length, from) = receiver.receive(&mut buffer).await.unwrap();
     assert_eq!((&buffer[..length], from), (&b"a"[..], sender.local_addr()));
-    assert!(began.elapsed() >= Duration::from_millis(3));
+    assert!(sent_at.elapsed() >= Duration::from_millis(3));
     network.cut_one_way(one, other);
     sender.send(b"b", receiver.local_addr());
     network.mend(one, other);
-    network.lose(one, other, 1.0);
+    network.set_datagram_loss(one, other, 1.0);
     sender.send(b"c", receiver.local_addr());
-    network.lose(one, other, 0.0);
+    network.set_datagram_loss(one, other, 0.0);
     sender.send(b"d", receiver.local_addr());
     let (length, _) = receiver.receive(&mut buffer).await.unwrap();
     assert_eq!(&buffer[..length], b"d");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reset_breaks_open_streams_and_lets_new_ones_through() {
+async fn a_reset_breaks_open_streams_and_allows_new_ones() {
     let network = SimNetwork::new(8, |_, _| Millis(1));
     let (one, other): (IpAddr, IpAddr) = ([10, 0, 0, 1].into(), [10, 0, 0, 2].into());
-    let (near, far) = (network.host(one), network.host(other));
+    let (sender_host, receiver_host) = (network.host(one), network.host(other));
     let at = SocketAddr::new(other, 7);
-    let mut listener = far.listen(at).await.unwrap();
-    let mut stream = near.connect(at).await.unwrap();
+    let mut listener = receiver_host.listen(at).await.unwrap();
+    let mut stream = sender_host.connect(at).await.unwrap();
     let (_accepted, _) = listener.accept().await.unwrap();
     network.reset(other);
     assert!(stream.write_all(b"x").await.is_err());
-    let mut again = near.connect(at).await.unwrap();
+    let mut again = sender_host.connect(at).await.unwrap();
     let (mut accepted, _) = listener.accept().await.unwrap();
     again.write_all(b"y").await.unwrap();
     let mut byte = [0];
--- a/testing/sim/src/checkers/budget.rs
+++ b/testing/sim/src/checkers/budget.rs
@@ -1,4 +1,4 @@
-//! Checker of what the nodes send again, over all of them.
+//! Checker of the retry budget, over the retries of all nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,7 +9,8 @@
 use crate::checkers::{Breach, Invariant, Violation};
 use crate::history::{Event, History, RequestKey};
 
-/// Checks that in no window a service runs more requests again than the retry budget of all nodes together allows.
+/// Checks that no service gets more retries in a time window than the retry budget of all nodes together
+/// allows.
 #[must_use]
 pub fn retry_budget_kept(history: &History) -> Vec<Violation> {
     let budget = RetryBudgetSettings::default();
@@ -20,7 +21,7 @@
         clock_error_millis: 0,
     };
     let mut violations = Vec::new();
-    for (service, times) in times_by_service(history) {
+    for (service, times) in run_times_by_service(history) {
         for overspent in allowance.overspent(&times) {
             let OverspentWindow { from_millis, repeats, requests } = overspent;
             let breach = Breach::BudgetOverspent { service: service.clone(), repeats, requests };
@@ -31,9 +32,9 @@
     violations
 }
 
-fn times_by_service(history: &History) -> BTreeMap<ServiceName, ServiceTimes> {
+fn run_times_by_service(history: &History) -> BTreeMap<ServiceName, ServiceTimes> {
     let mut services: BTreeMap<RequestKey, ServiceName> = BTreeMap::new();
-    let mut ran: BTreeMap<RequestKey, BTreeSet<&NodeName>> = BTreeMap::new();
+    let mut nodes_by_request: BTreeMap<RequestKey, BTreeSet<&NodeName>> = BTreeMap::new();
     let mut times: BTreeMap<ServiceName, ServiceTimes> = BTreeMap::new();
     for recorded in history.events() {
         match &recorded.event {
@@ -42,10 +43,11 @@
                 times.entry(service.clone()).or_default().requests.push(recorded.at.0);
             }
             Event::Executed { request, node, .. } => {
-                let ran_on = ran.entry(*request).or_default();
-                // No request is sent to the same node twice: such a run is one that the network has doubled.
-                let is_repeat = ran_on.insert(node) && ran_on.len() > 1;
-                let Some(service) = services.get(request).filter(|_service| is_repeat) else { continue };
+                let run_nodes = nodes_by_request.entry(*request).or_default();
+                // Nodes never send a request to the same node twice, so a second run on one node comes from a
+                // stream that the network duplicated. It doesn't count as a retry.
+                let is_retry = run_nodes.insert(node) && run_nodes.len() > 1;
+                let Some(service) = services.get(request).filter(|_service| is_retry) else { continue };
                 times.entry(service.clone()).or_default().repeats.push(recorded.at.0);
             }
             _ => {}
--- a/testing/sim/src/checkers/convergence.rs
+++ b/testing/sim/src/checkers/convergence.rs
@@ -1,4 +1,4 @@
-//! Checker of liveness: an accepted version is in force everywhere in time.
+//! Checker of convergence: every accepted version is in force on all running nodes within a time limit.
 
 use std::collections::BTreeMap;
 
@@ -7,34 +7,34 @@
 use crate::checkers::{Breach, Invariant, Violation};
 use crate::history::{Event, History, Recorded};
 
-/// Longest time from acceptance, or from the end of the last fault if later, until a version is in force on
-/// every running node.
+/// Longest time from the acceptance of a version, or from the end of the last fault if later, until the
+/// version is in force on every running node.
 pub const CONVERGENCE_LIMIT: Millis = Millis(10_000);
 
-/// Checks every accepted version whose time was up before the run ended. A node that started later gets the
-/// same time from its start.
+/// Checks every accepted version whose time limit expired before the run ended. For a node that started
+/// later, the limit counts from its start.
 #[must_use]
 pub fn in_force_within_seconds(history: &History) -> Vec<Violation> {
-    let mut watch = Watch::default();
+    let mut state = ConvergenceState::default();
     let mut violations = Vec::new();
     for recorded in history.events() {
-        violations.extend(watch.overdue(recorded.at));
-        watch.take(recorded);
+        violations.extend(state.overdue(recorded.at));
+        state.apply(recorded);
     }
     violations
 }
 
-/// What is known at one moment of the history.
+/// State of the checker at one time of the history.
 #[derive(Default)]
-struct Watch<'a> {
-    faults_over_at: Option<Millis>,
+struct ConvergenceState<'a> {
+    faults_ended_at: Option<Millis>,
     accepted: Vec<(Version, Millis)>,
     running_since: BTreeMap<&'a NodeName, Millis>,
     in_force: BTreeMap<&'a NodeName, Version>,
 }
 
-impl<'a> Watch<'a> {
-    fn take(&mut self, recorded: &'a Recorded) {
+impl<'a> ConvergenceState<'a> {
+    fn apply(&mut self, recorded: &'a Recorded) {
         match &recorded.event {
             Event::Accepted { version, .. } => self.accepted.push((*version, recorded.at)),
             Event::Activated { node, version, .. } => {
@@ -47,19 +47,19 @@
             Event::Stopped { node } => {
                 self.running_since.remove(node);
             }
-            Event::FaultsEnded => self.faults_over_at = Some(recorded.at),
+            Event::FaultsEnded => self.faults_ended_at = Some(recorded.at),
             _ => {}
         }
     }
 
-    /// Nodes that lack at `now` what should be in force by then. Each version is looked at once.
+    /// Returns a violation for each node that lacks the newest version that must be in force at `now`.
     fn overdue(&mut self, now: Millis) -> Vec<Violation> {
-        let Some(faults_over_at) = self.faults_over_at else { return Vec::new() };
+        let Some(faults_ended_at) = self.faults_ended_at else { return Vec::new() };
         let mut violations = Vec::new();
         for (&node, &since) in &self.running_since {
-            let due = |accepted: Millis| accepted.0.max(since.0).max(faults_over_at.0) + CONVERGENCE_LIMIT.0;
-            let newest_due = self.accepted.iter().rev().find(|(_, accepted)| now.0 > due(*accepted));
-            let Some(&(expected, accepted)) = newest_due else { continue };
+            let due = |accepted: Millis| accepted.0.max(since.0).max(faults_ended_at.0) + CONVERGENCE_LIMIT.0;
+            let newest_overdue = self.accepted.iter().rev().find(|(_, accepted)| now.0 > due(*accepted));
+            let Some(&(expected, accepted)) = newest_overdue else { continue };
             let found = self.in_force.get(node).copied();
             if found.is_none_or(|found| found < expected) {
                 let breach = Breach::NotInForce { node: node.clone(), expected, found };
@@ -67,7 +67,7 @@
                 violations.push(Violation { invariant: Invariant::InForceWithinSeconds, at, breach });
             }
         }
-        // One report a node is enough: what was reported is not looked for again.
+        // Treats a reported version as in force, so that it is reported once per node.
         for violation in &violations {
             if let Breach::NotInForce { node, expected, .. } = &violation.breach
                 && let Some((&key, _)) = self.running_since.get_key_value(node)
--- a/testing/sim/src/checkers/lifecycle.rs
+++ b/testing/sim/src/checkers/lifecycle.rs
@@ -1,4 +1,4 @@
-//! Checkers of leaving and stopping.
+//! Checkers of draining and planned stops.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,24 +7,25 @@
 use crate::checkers::{Breach, Invariant, Violation};
 use crate::history::{CallerOutcome, Event, History, RequestKey};
 
-/// Longest time in which a leaving back end may still get new work.
+/// Longest time for which a draining back end may still receive new requests.
 pub const DRAIN_LIMIT: Millis = Millis(2_000);
 
-/// Checks that a back end begins no request later than [`DRAIN_LIMIT`] after its node was told that it leaves.
+/// Checks that a back end starts no request later than [`DRAIN_LIMIT`] after its node began to drain.
 #[must_use]
-pub fn leaving_back_end_gets_no_new_work(history: &History) -> Vec<Violation> {
-    let mut leaving: BTreeMap<&NodeName, Millis> = BTreeMap::new();
+pub fn draining_back_end_gets_no_new_requests(history: &History) -> Vec<Violation> {
+    let mut draining_since: BTreeMap<&NodeName, Millis> = BTreeMap::new();
     let mut violations = Vec::new();
     for recorded in history.events() {
         match &recorded.event {
             Event::DrainBegan { node } => {
-                leaving.entry(node).or_insert(recorded.at);
+                draining_since.entry(node).or_insert(recorded.at);
             }
             Event::Started { node } => {
-                leaving.remove(node);
+                draining_since.remove(node);
             }
             Event::Executed { request, node, .. } => {
-                let is_late = leaving.get(node).is_some_and(|began| recorded.at.0 > began.0 + DRAIN_LIMIT.0);
+                let is_late =
+                    draining_since.get(node).is_some_and(|began| recorded.at.0 > began.0 + DRAIN_LIMIT.0);
                 if is_late {
                     let breach = Breach::NewWorkWhileLeaving { node: node.clone(), request: *request };
                     let invariant = Invariant::LeavingGetsNoNewWork;
@@ -37,21 +38,21 @@
     violations
 }
 
-/// A request that runs.
-struct Running<'a> {
+/// A request that a back end is running.
+struct ActiveRequest<'a> {
     node: &'a NodeName,
-    /// Whether some link was cut while it ran.
-    met_cut: bool,
+    /// Whether any link was cut while the request ran.
+    overlapped_cut: bool,
 }
 
-/// Checks that no request that ran on a node during its planned stop was cut or ended as unknown, unless a
-/// fault hit that node too, or links were cut while the request ran.
+/// Checks that no request running on a node during its planned stop was truncated or had an unknown outcome,
+/// unless a fault also hit that node or links were cut while the request ran.
 #[must_use]
 pub fn planned_stop_cuts_nothing(history: &History) -> Vec<Violation> {
     let mut stopping: BTreeSet<&NodeName> = BTreeSet::new();
     let mut faulty: BTreeSet<&NodeName> = BTreeSet::new();
-    let mut running: BTreeMap<RequestKey, Running<'_>> = BTreeMap::new();
-    let mut cuts = 0_usize;
+    let mut active_requests: BTreeMap<RequestKey, ActiveRequest<'_>> = BTreeMap::new();
+    let mut active_cuts = 0_usize;
     let mut violations = Vec::new();
     for recorded in history.events() {
         match &recorded.event {
@@ -66,17 +67,19 @@
                 faulty.remove(node);
             }
             Event::LinksCut => {
-                cuts += 1;
-                running.values_mut().for_each(|request| request.met_cut = true);
+                active_cuts += 1;
+                active_requests.values_mut().for_each(|request| request.overlapped_cut = true);
             }
-            Event::LinksMended => cuts = cuts.saturating_sub(1),
+            Event::LinksMended => active_cuts = active_cuts.saturating_sub(1),
             Event::Executed { request, node, .. } => {
-                running.insert(*request, Running { node, met_cut: cuts > 0 });
+                active_requests.insert(*request, ActiveRequest { node, overlapped_cut: active_cuts > 0 });
             }
             Event::Finished { request, outcome } => {
-                let Some(Running { node, met_cut }) = running.remove(request) else { continue };
+                let Some(ActiveRequest { node, overlapped_cut }) = active_requests.remove(request) else {
+                    continue;
+                };
                 let is_lost = matches!(outcome, CallerOutcome::Cut | CallerOutcome::Unknown);
-                if is_lost && stopping.contains(node) && !faulty.contains(node) && !met_cut {
+                if is_lost && stopping.contains(node) && !faulty.contains(node) && !overlapped_cut {
                     let breach = Breach::CutByPlannedStop { node: node.clone(), request: *request };
                     let invariant = Invariant::PlannedStopCutsNothing;
                     violations.push(Violation { invariant, at: recorded.at, breach });
--- a/testing/sim/src/checkers/mod.rs
+++ b/testing/sim/src/checkers/mod.rs
@@ -1,4 +1,4 @@
-//! One checker for each promise of the system, as a plain function over a recorded history.
+//! One checker for each guarantee of the system, as a pure function over a recorded history.
 
 mod budget;
 mod convergence;
@@ -15,43 +15,44 @@
 
 pub use budget::retry_budget_kept;
 pub use convergence::{CONVERGENCE_LIMIT, in_force_within_seconds};
-pub use lifecycle::{DRAIN_LIMIT, leaving_back_end_gets_no_new_work, planned_stop_cuts_nothing};
+pub use lifecycle::{DRAIN_LIMIT, draining_back_end_gets_no_new_requests, planned_stop_cuts_nothing};
 pub use requests::{
-    allowed_locality_only, at_most_once, one_run_a_caller_key, rejected_did_not_run, serving_after_faults,
-    whole_own_answer,
+    allowed_locality_only, at_most_once, at_most_once_per_caller_key, rejected_did_not_run,
+    serving_after_faults, whole_own_answer,
 };
 pub use submissions::submission_told_true;
 pub use versions::{never_applied_in_part, never_back, no_dangling_reference};
 
-/// The invariants, in the order of the promises they stand for.
+/// The invariants, in the order of the guarantees that they check.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Invariant {
-    /// No process puts a version in force that is older than one it held in force before; nor does a restarted one,
-    /// unless the store may be out of its reach.
+    /// No process activates a version older than one that it activated before. This holds across a restart
+    /// too, unless the store may be unreachable for the new process.
     NeverBack,
-    /// No route in force points at a service or secret that the node lacks.
+    /// No active route refers to a service or secret that the node lacks.
     NoDanglingReference,
-    /// What is in force is exactly an accepted version, restricted to the node's scope.
+    /// The active configuration of a node is exactly an accepted version, restricted to the node's scope.
     NeverAppliedInPart,
-    /// A caller gets the whole answer to its own request.
+    /// A caller receives the complete response to its own request.
     WholeOwnAnswer,
-    /// What was refused as rejected before execution did not run.
+    /// A request that was reported as rejected before execution did not run.
     RejectedDidNotRun,
     /// A request that is not idempotent runs at most once.
     AtMostOnce,
-    /// A back end that is leaving gets no new work after [`DRAIN_LIMIT`].
+    /// A draining back end receives no new requests after [`DRAIN_LIMIT`].
     LeavingGetsNoNewWork,
-    /// A planned stop cuts no request in flight.
+    /// A planned stop interrupts no request in flight.
     PlannedStopCutsNothing,
-    /// An accepted version is in force everywhere within seconds and stays.
+    /// An accepted version is in force on all running nodes within [`CONVERGENCE_LIMIT`] and stays in force.
     InForceWithinSeconds,
-    /// A request is served only in a locality that its service allows.
+    /// A request runs only in a locality that its service allows.
     AllowedLocalityOnly,
-    /// What an operator was told of a submission is true.
+    /// The final result of a submission that an operator received is correct.
     SubmissionToldTrue,
-    /// Within seconds of the end of the last fault every request is answered.
+    /// Every request that is sent later than [`CONVERGENCE_LIMIT`] after the last fault gets a response.
     ServingAfterFaults,
-    /// All nodes together send no more requests again than the retry budget of their service allows in any window.
+    /// In any time window, all nodes together send no more retries than the retry budget of the service
+    /// allows.
     RetryBudgetKept,
 }
 
@@ -73,7 +74,7 @@
         Self::RetryBudgetKept,
     ];
 
-    /// Name on the command line and in reports.
+    /// Name used on the command line and in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -93,7 +94,7 @@
         }
     }
 
-    /// Checks `history`; an empty list means that the invariant held.
+    /// Checks `history` and returns the violations; empty if the invariant holds.
     #[must_use]
     pub fn check(self, history: &History) -> Vec<Violation> {
         match self {
@@ -102,8 +103,8 @@
             Self::NeverAppliedInPart => never_applied_in_part(history),
             Self::WholeOwnAnswer => whole_own_answer(history),
             Self::RejectedDidNotRun => rejected_did_not_run(history),
-            Self::AtMostOnce => [at_most_once(history), one_run_a_caller_key(history)].concat(),
-            Self::LeavingGetsNoNewWork => leaving_back_end_gets_no_new_work(history),
+            Self::AtMostOnce => [at_most_once(history), at_most_once_per_caller_key(history)].concat(),
+            Self::LeavingGetsNoNewWork => draining_back_end_gets_no_new_requests(history),
             Self::PlannedStopCutsNothing => planned_stop_cuts_nothing(history),
             Self::InForceWithinSeconds => in_force_within_seconds(history),
             Self::AllowedLocalityOnly => allowed_locality_only(history),
@@ -120,120 +121,120 @@
     }
 }
 
-/// One breach of an invariant.
+/// One violation of an invariant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Violation {
     /// The invariant.
     pub invariant: Invariant,
-    /// Virtual time of the breach.
+    /// Virtual time of the violation.
     pub at: Millis,
-    /// What broke it.
+    /// How the invariant was violated.
     pub breach: Breach,
 }
 
-/// What broke an invariant.
+/// How an invariant was violated.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Breach {
-    /// A node went from a version to an older one.
+    /// A node activated an older version than before.
     WentBack {
         /// The node.
         node: NodeName,
-        /// Version held before.
+        /// Version that was active before.
         from: Version,
-        /// Version put in force after.
+        /// Older version that was activated.
         to: Version,
     },
-    /// A node has references to what it lacks.
+    /// The active configuration refers to services or secrets that the node lacks.
     Dangling {
         /// The node.
         node: NodeName,
-        /// Version in force.
+        /// Active version.
         version: Version,
-        /// Count of such references.
+        /// Number of dangling references.
         references: usize,
     },
-    /// A node has something in force that is no accepted version.
+    /// The active configuration of a node differs from every accepted version.
     NotThatVersion {
         /// The node.
         node: NodeName,
-        /// Version claimed.
+        /// Version that the node reported.
         version: Version,
     },
-    /// One submission became two versions, or the chain has a gap.
+    /// One submission produced two versions, or the chain has a gap.
     BrokenChain {
-        /// The version at which the chain breaks.
+        /// The version at which the chain is inconsistent.
         version: Version,
     },
-    /// A request got a wrong answer, a part of one taken for the whole, or none at all.
+    /// A request got a wrong response, a truncated one that looked complete, more than one, or none.
     BadAnswer {
         /// The request.
         request: RequestKey,
-        /// What the caller was told, if anything.
+        /// Outcome for the caller, if there was one.
         outcome: Option<CallerOutcome>,
     },
-    /// A request ran although it was refused as not run, or ran more often than it may.
+    /// A request ran although it was reported as rejected, or ran more often than allowed.
     RanTooOften {
         /// The request.
         request: RequestKey,
-        /// How often it ran.
+        /// Number of runs.
         runs: usize,
     },
-    /// A node let two requests of one caller's key run.
+    /// A node ran two requests with the same idempotency key.
     CallerKeyRanTwice {
         /// The node.
         node: NodeName,
         /// The later request.
         request: RequestKey,
     },
-    /// A service ran more requests again than the retry budget allows in one window.
+    /// A service got more retries in one time window than the retry budget allows.
     BudgetOverspent {
         /// The service.
         service: ServiceName,
-        /// Runs beyond the first of each request, in the window that begins at the time of the violation.
+        /// Runs beyond the first of each request, in the window that starts at the time of the violation.
         repeats: u32,
-        /// Requests that the budget counts for that window.
+        /// Requests in that window from which the budget is computed.
         requests: u32,
     },
-    /// A request was not answered although every fault was long over.
+    /// A request got no response although it was sent later than [`CONVERGENCE_LIMIT`] after the last fault.
     NotServed {
         /// The request.
         request: RequestKey,
-        /// What the caller was told.
+        /// Outcome for the caller.
         outcome: CallerOutcome,
     },
-    /// A back end got new work although it was leaving.
+    /// A draining back end received a new request after [`DRAIN_LIMIT`].
     NewWorkWhileLeaving {
-        /// Node beside the back end.
+        /// Node of the back end.
         node: NodeName,
         /// The request.
         request: RequestKey,
     },
-    /// A planned stop cut a request.
+    /// A planned stop interrupted a request.
     CutByPlannedStop {
         /// The node that stopped.
         node: NodeName,
         /// The request.
         request: RequestKey,
     },
-    /// A version was not in force in time.
+    /// A version was not in force within [`CONVERGENCE_LIMIT`].
     NotInForce {
         /// The node that lacks it.
         node: NodeName,
         /// Version that should be in force.
         expected: Version,
-        /// Version in force, if any.
+        /// Active version, if any.
         found: Option<Version>,
     },
-    /// An operator was told what is not so.
+    /// An operator received a wrong result of a submission.
     ToldWrong {
         /// The submission.
         submission: SubmissionId,
-        /// What was said.
+        /// Result that the operator received.
         claim: SubmissionClaim,
     },
-    /// A request was served where its service does not allow it.
+    /// A request ran in a locality that its service does not allow.
     ServedElsewhere {
-        /// Node beside the back end.
+        /// Node of the back end.
         node: NodeName,
         /// The request.
         request: RequestKey,
--- a/testing/sim/src/checkers/requests.rs
+++ b/testing/sim/src/checkers/requests.rs
@@ -1,4 +1,4 @@
-//! Checkers of what callers were told against what back ends ran.
+//! Checkers that compare the outcomes for callers with the runs on back ends.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,10 +8,11 @@
 use crate::checkers::{Breach, Invariant, Violation};
 use crate::history::{CallerKey, CallerOutcome, Event, History, RequestKey};
 
-/// Checks that every finished answer is whole and the request's own, and that each request got one end.
+/// Checks that every response is complete and belongs to its request, and that each request ends exactly
+/// once.
 #[must_use]
 pub fn whole_own_answer(history: &History) -> Vec<Violation> {
-    let mut open: BTreeMap<RequestKey, Millis> = BTreeMap::new();
+    let mut unfinished: BTreeMap<RequestKey, Millis> = BTreeMap::new();
     let mut violations = Vec::new();
     let mut report = |at, request, outcome| {
         let breach = Breach::BadAnswer { request, outcome };
@@ -20,25 +21,25 @@
     for recorded in history.events() {
         match &recorded.event {
             Event::Sent { request, .. } => {
-                open.insert(*request, recorded.at);
+                unfinished.insert(*request, recorded.at);
             }
             Event::Finished { request, outcome } => {
-                let was_open = open.remove(request).is_some();
+                let was_unfinished = unfinished.remove(request).is_some();
                 let is_bad = matches!(outcome, CallerOutcome::Answered { whole, own } if !whole || !own);
-                if is_bad || !was_open {
+                if is_bad || !was_unfinished {
                     report(recorded.at, *request, Some(*outcome));
                 }
             }
             _ => {}
         }
     }
-    for (request, at) in open {
+    for (request, at) in unfinished {
         report(at, request, None);
     }
     violations
 }
 
-/// Checks that no request that was refused as rejected before execution ran, before or after the refusal.
+/// Checks that no request reported as rejected before execution ran, before or after the rejection.
 #[must_use]
 pub fn rejected_did_not_run(history: &History) -> Vec<Violation> {
     let runs = count_runs(history);
@@ -52,7 +53,7 @@
     violations
 }
 
-/// Checks that no request that is not idempotent began to run twice.
+/// Checks that no non-idempotent request started to run twice.
 #[must_use]
 pub fn at_most_once(history: &History) -> Vec<Violation> {
     let idempotent: BTreeSet<RequestKey> = history
@@ -76,14 +77,14 @@
     violations
 }
 
-/// Checks that no node admitted two requests of one caller's key in the life of one process.
+/// Checks that no process of a node ran two requests with the same idempotency key.
 #[must_use]
-pub fn one_run_a_caller_key(history: &History) -> Vec<Violation> {
+pub fn at_most_once_per_caller_key(history: &History) -> Vec<Violation> {
     let mut ran: BTreeSet<(&NodeName, CallerKey)> = BTreeSet::new();
     let mut violations = Vec::new();
     for recorded in history.events() {
         match &recorded.event {
-            Event::Started { node } => ran.retain(|(ran_on, _)| *ran_on != node),
+            Event::Started { node } => ran.retain(|(run_node, _)| *run_node != node),
             Event::Executed { request, node, caller_key: Some(key), .. } if !ran.insert((node, *key)) => {
                 let breach = Breach::CallerKeyRanTwice { node: node.clone(), request: *request };
                 violations.push(Violation { invariant: Invariant::AtMostOnce, at: recorded.at, breach });
@@ -94,23 +95,25 @@
     violations
 }
 
-/// Checks that every request sent [`CONVERGENCE_LIMIT`] after the end of the last fault or later is answered, but for
-/// those that repeat an earlier one.
+/// Checks that every request sent later than [`CONVERGENCE_LIMIT`] after the last fault gets a response.
+/// Requests that repeat an earlier one are exempt, because the refusal of a repeated key is correct.
 #[must_use]
 pub fn serving_after_faults(history: &History) -> Vec<Violation> {
-    let mut faults_over_at = None;
-    let mut due: BTreeSet<RequestKey> = BTreeSet::new();
+    let mut faults_ended_at = None;
+    let mut must_be_answered: BTreeSet<RequestKey> = BTreeSet::new();
     let mut violations = Vec::new();
     for recorded in history.events() {
         match &recorded.event {
-            Event::FaultsEnded => faults_over_at = Some(recorded.at),
+            Event::FaultsEnded => faults_ended_at = Some(recorded.at),
             Event::Sent { request, repeats: false, .. }
-                if faults_over_at.is_some_and(|over| recorded.at.0 > over.0 + CONVERGENCE_LIMIT.0) =>
+                if faults_ended_at
+                    .is_some_and(|ended_at| recorded.at.0 > ended_at.0 + CONVERGENCE_LIMIT.0) =>
             {
-                due.insert(*request);
+                must_be_answered.insert(*request);
             }
             Event::Finished { request, outcome }
-                if due.contains(request) && !matches!(outcome, CallerOutcome::Answered { .. }) =>
+                if must_be_answered.contains(request)
+                    && !matches!(outcome, CallerOutcome::Answered { .. }) =>
             {
                 let breach = Breach::NotServed { request: *request, outcome: *outcome };
                 violations.push(Violation {
--- a/testing/sim/src/checkers/submissions.rs
+++ b/testing/sim/src/checkers/submissions.rs
@@ -1,4 +1,4 @@
-//! Checker of what operators were told.
+//! Checker of the submission results that operators receive.
 
 use std::collections::BTreeMap;
 
@@ -7,8 +7,8 @@
 use crate::checkers::{Breach, Invariant, Violation};
 use crate::history::{Event, History, SubmissionClaim};
 
-/// Checks each operator's last word against the whole chain, as it is at the end of the history. "Unknown" is never
-/// wrong.
+/// Checks the final result that each operator received against the chain at the end of the history. The
+/// result "unknown" is always accepted.
 #[must_use]
 pub fn submission_told_true(history: &History) -> Vec<Violation> {
     let chain: BTreeMap<SubmissionId, Version> = history
@@ -22,12 +22,12 @@
     for recorded in history.events() {
         let Event::SubmissionTold { submission, claim } = &recorded.event else { continue };
         let in_chain = chain.get(submission).copied();
-        let is_true = match claim {
+        let is_correct = match claim {
             SubmissionClaim::Accepted(version) => in_chain == Some(*version),
             SubmissionClaim::NotAccepted => in_chain.is_none(),
             SubmissionClaim::Unknown => true,
         };
-        if !is_true {
+        if !is_correct {
             let breach = Breach::ToldWrong { submission: *submission, claim: *claim };
             violations.push(Violation { invariant: Invariant::SubmissionToldTrue, at: recorded.at, breach });
         }
--- a/testing/sim/src/checkers/versions.rs
+++ b/testing/sim/src/checkers/versions.rs
@@ -1,4 +1,4 @@
-//! Checkers of what is in force on nodes.
+//! Checkers of the configuration that is in force on nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,40 +7,43 @@
 use crate::checkers::{Breach, Invariant, Violation};
 use crate::history::{Event, History};
 
-/// What the checker of [`never_back`] knows of one node.
+/// State of [`never_back`] for one node.
 #[derive(Default)]
 struct NodeVersions {
-    /// Highest version in force in any process of the node.
+    /// Highest version that any process of the node activated.
     highest: Version,
-    /// Highest version in force in the present process.
+    /// Highest version that the current process activated.
     highest_of_process: Version,
-    /// Whether the store may have been out of reach at any time since the process started.
-    may_lack_store: bool,
+    /// Whether the store may have been unreachable at any time since the process started.
+    store_maybe_unreachable: bool,
 }
 
-/// Checks that the versions in force on each node only grow: always in the life of one process; across a restart
-/// too, unless the store may have been out of the new process's reach.
+/// Checks that no node activates an older version than before: never within one process, and not across a
+/// restart either unless the store may have been unreachable for the new process.
 #[must_use]
 pub fn never_back(history: &History) -> Vec<Violation> {
     let mut nodes: BTreeMap<&NodeName, NodeVersions> = BTreeMap::new();
-    let mut impairments = 0_usize;
+    let mut active_impairments = 0_usize;
     let mut violations = Vec::new();
     for recorded in history.events() {
         match &recorded.event {
             Event::StoreImpaired => {
-                impairments += 1;
-                nodes.values_mut().for_each(|node| node.may_lack_store = true);
+                active_impairments += 1;
+                nodes.values_mut().for_each(|node| node.store_maybe_unreachable = true);
             }
-            Event::StoreMended => impairments = impairments.saturating_sub(1),
+            Event::StoreMended => active_impairments = active_impairments.saturating_sub(1),
             Event::Started { node } => {
                 let versions = nodes.entry(node).or_default();
                 versions.highest_of_process = Version::GENESIS;
-                versions.may_lack_store = impairments > 0;
+                versions.store_maybe_unreachable = active_impairments > 0;
             }
             Event::Activated { node, version, .. } => {
                 let versions = nodes.entry(node).or_default();
-                let floor =
-                    if versions.may_lack_store { versions.highest_of_process } else { versions.highest };
+                let floor = if versions.store_maybe_unreachable {
+                    versions.highest_of_process
+                } else {
+                    versions.highest
+                };
                 if *version < floor {
                     let breach = Breach::WentBack { node: node.clone(), from: floor, to: *version };
                     violations.push(Violation { invariant: Invariant::NeverBack, at: recorded.at, breach });
@@ -54,7 +57,7 @@
     violations
 }
 
-/// Checks that nothing in force refers to something that the node lacks.
+/// Checks that the active configuration refers to no service or secret that the node lacks.
 #[must_use]
 pub fn no_dangling_reference(history: &History) -> Vec<Violation> {
     let mut violations = Vec::new();
@@ -69,8 +72,8 @@
     violations
 }
 
-/// Checks that what is in force is an accepted version, whole, and that the chain has one version a submission
-/// and no gap.
+/// Checks that the active configuration is a complete accepted version, and that the chain has one version
+/// for each submission and no gaps.
 #[must_use]
 pub fn never_applied_in_part(history: &History) -> Vec<Violation> {
     let mut accepted = BTreeSet::from([Version::GENESIS]);
--- a/testing/sim/src/cli/invariants.rs
+++ b/testing/sim/src/cli/invariants.rs
@@ -11,10 +11,10 @@
 
 use super::{Invariants, Replay, USAGE, VIOLATION, output};
 
-/// Seeds if none are given.
+/// Number of seeds if `--seeds` is absent.
 const DEFAULT_SEEDS: u64 = 50;
 
-/// Runs and violations of one invariant under one kind of fault.
+/// Number of runs and violations for one invariant and one kind of fault.
 #[derive(Debug, Clone, Copy, Default, Serialize)]
 struct Cell {
     runs: u64,
@@ -33,39 +33,39 @@
 
 type Table = BTreeMap<(Invariant, FaultKind), Cell>;
 
-/// Verdict of one seed.
+/// Schedule of one seed and the number of violations of each violated invariant.
 struct Verdict {
     seed: u64,
     schedule: Schedule,
     violated: BTreeMap<Invariant, usize>,
 }
 
-/// Runs all seeds and prints the table; fails on a violation.
+/// Runs all seeds and prints the table. The exit code reports violations and a report that can't be written.
 pub fn run(options: &Invariants) -> ExitCode {
-    let Some(kinds) = kinds(options.fault.as_deref()) else {
-        return usage("fault", FaultKind::ALL.iter().map(|kind| kind.name()));
+    let Some(kinds) = parse_kinds(options.fault.as_deref()) else {
+        return unknown_name("fault", FaultKind::ALL.iter().map(|kind| kind.name()));
     };
-    let Some(invariants) = invariants(options.invariant.as_deref()) else {
-        return usage("invariant", Invariant::ALL.iter().map(|invariant| invariant.name()));
+    let Some(invariants) = parse_invariants(options.invariant.as_deref()) else {
+        return unknown_name("invariant", Invariant::ALL.iter().map(|invariant| invariant.name()));
     };
     let first = options.first_seed.unwrap_or(0);
     let seeds = first..first + options.seeds.unwrap_or(DEFAULT_SEEDS);
     let verdicts = run_all(seeds, &kinds, options.jobs.unwrap_or(1));
-    let table = tabulate(&verdicts, &invariants);
+    let table = build_table(&verdicts, &invariants);
     print(&table);
     let mut failed = false;
     for verdict in verdicts.iter().filter(|verdict| is_violated(verdict, &invariants)) {
         failed = true;
-        explain(verdict, &invariants, &kinds);
+        print_failure(verdict, &invariants, &kinds);
     }
     let written = options.json.as_deref().is_none_or(|file| output::write_json(file, &rows(&table)));
     if failed || !written { ExitCode::from(VIOLATION) } else { ExitCode::SUCCESS }
 }
 
-/// Runs one seed and prints its trace and verdict.
+/// Runs one seed and prints its trace, violations and digest.
 pub fn replay(options: &Replay) -> ExitCode {
-    let Some(kinds) = kinds(options.fault.as_deref()) else {
-        return usage("fault", FaultKind::ALL.iter().map(|kind| kind.name()));
+    let Some(kinds) = parse_kinds(options.fault.as_deref()) else {
+        return unknown_name("fault", FaultKind::ALL.iter().map(|kind| kind.name()));
     };
     let schedule = Schedule::from_seed(options.seed, &kinds);
     let report = run_seed(&RunOptions { seed: options.seed, schedule });
@@ -79,22 +79,22 @@
     if report.violations.is_empty() { ExitCode::SUCCESS } else { ExitCode::from(VIOLATION) }
 }
 
-fn usage<'a>(what: &str, names: impl Iterator<Item = &'a str>) -> ExitCode {
-    eprintln!("unknown {what}; one of: {}", names.collect::<Vec<_>>().join(", "));
+fn unknown_name<'a>(what: &str, names: impl Iterator<Item = &'a str>) -> ExitCode {
+    eprintln!("unknown {what}; expected one of: {}", names.collect::<Vec<_>>().join(", "));
     ExitCode::from(USAGE)
 }
 
-fn kinds(name: Option<&str>) -> Option<Vec<FaultKind>> {
+fn parse_kinds(name: Option<&str>) -> Option<Vec<FaultKind>> {
     let Some(names) = name else { return Some(FaultKind::ALL.to_vec()) };
     names.split(',').map(|name| FaultKind::ALL.into_iter().find(|kind| kind.name() == name)).collect()
 }
 
-fn invariants(name: Option<&str>) -> Option<Vec<Invariant>> {
+fn parse_invariants(name: Option<&str>) -> Option<Vec<Invariant>> {
     let Some(name) = name else { return Some(Invariant::ALL.to_vec()) };
     Invariant::ALL.into_iter().find(|invariant| invariant.name() == name).map(|invariant| vec![invariant])
 }
 
-/// Each run has a runtime of its own, so that runs side by side don't touch each other's verdicts.
+/// Runs all seeds on `jobs` threads. Each run has its own runtime, so parallel runs don't affect each other.
 fn run_all(seeds: std::ops::Range<u64>, kinds: &[FaultKind], jobs: usize) -> Vec<Verdict> {
     let next = AtomicU64::new(seeds.start);
     let work = || {
@@ -118,10 +118,10 @@
 fn run_one(seed: u64, kinds: &[FaultKind]) -> Verdict {
     let schedule = Schedule::from_seed(seed, kinds);
     let report = run_seed(&RunOptions { seed, schedule: schedule.clone() });
-    Verdict { seed, schedule, violated: counts(&report) }
+    Verdict { seed, schedule, violated: violation_counts(&report) }
 }
 
-fn counts(report: &RunReport) -> BTreeMap<Invariant, usize> {
+fn violation_counts(report: &RunReport) -> BTreeMap<Invariant, usize> {
     report.violations.iter().map(|(invariant, violations)| (*invariant, violations.len())).collect()
 }
 
@@ -129,7 +129,7 @@
     invariants.iter().any(|invariant| verdict.violated.contains_key(invariant))
 }
 
-fn tabulate(verdicts: &[Verdict], invariants: &[Invariant]) -> Table {
+fn build_table(verdicts: &[Verdict], invariants: &[Invariant]) -> Table {
     let mut table = Table::new();
     for verdict in verdicts {
         let mut kinds: Vec<FaultKind> = verdict.schedule.faults.iter().map(|fault| fault.kind).collect();
@@ -163,8 +163,8 @@
     }
 }
 
-/// Tells a failing seed with the shortest schedule that still fails.
-fn explain(verdict: &Verdict, invariants: &[Invariant], kinds: &[FaultKind]) {
+/// Prints the violations of a failing seed and the shortest schedule that still fails.
+fn print_failure(verdict: &Verdict, invariants: &[Invariant], kinds: &[FaultKind]) {
     let seed = verdict.seed;
     let fails = |schedule: &Schedule| {
         let report = run_seed(&RunOptions { seed, schedule: schedule.clone() });
--- a/testing/sim/src/cli/mod.rs
+++ b/testing/sim/src/cli/mod.rs
@@ -1,4 +1,4 @@
-//! Command line of `umberpond-sim`.
+//! Command line interface of `umberpond-sim`.
 
 mod invariants;
 mod output;
@@ -7,40 +7,40 @@
 use std::process::ExitCode;
 
 xflags::xflags! {
-    /// Simulates umberpond in virtual time. A seed names a run.
+    /// Simulates umberpond in virtual time. A run is reproducible from its seed.
     cmd simulate {
         /// Runs the real daemon under fault schedules and checks every invariant.
         cmd invariants {
-            /// Count of seeds (50).
+            /// Number of seeds (default 50).
             optional --seeds count: u64
-            /// First seed (0).
+            /// First seed (default 0).
             optional --first-seed seed: u64
-            /// Only this invariant.
+            /// Checks only this invariant.
             optional --invariant name: String
-            /// Only these kinds of fault, separated by commas.
+            /// Injects only these kinds of fault, separated by commas.
             optional --fault names: String
-            /// Runs side by side (1); the verdicts are the same.
+            /// Number of parallel runs (default 1); does not affect the results.
             optional --jobs count: usize
-            /// Writes the table as JSON.
+            /// Writes the table to this file as JSON.
             optional --json file: PathBuf
         }
 
-        /// Runs one seed and prints what happened.
+        /// Runs one seed and prints its trace.
         cmd replay {
-            /// Name of the run.
+            /// Seed of the run.
             required --seed seed: u64
-            /// The kinds of fault that the seed was run with, separated by commas.
+            /// Kinds of fault that the seed was run with, separated by commas.
             optional --fault names: String
         }
     }
 }
 
-/// Exit code of a run in which an invariant or a bound was broken.
+/// Exit code if an invariant was violated or the report could not be written.
 pub const VIOLATION: u8 = 1;
-/// Exit code of a wrong command line.
+/// Exit code for an invalid option value.
 pub const USAGE: u8 = 2;
 
-/// Runs the chosen subcommand.
+/// Runs the selected subcommand.
 pub fn run(simulate: Simulate) -> ExitCode {
     match simulate.subcommand {
         SimulateCmd::Invariants(options) => invariants::run(&options),
--- a/testing/sim/src/cluster/callers.rs
+++ b/testing/sim/src/cluster/callers.rs
@@ -1,5 +1,5 @@
-//! Callers: an open-loop mix of requests through the edge, callers that repeat their own keys, and what became of
-//! each request.
+//! Callers: an open-loop mix of requests through the edge, callers that repeat requests under the same
+//! idempotency key, and the history of their requests.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -11,96 +11,104 @@
 use umberpond_standins::backend::Ledger;
 use umberpond_standins::caller::{Answer, CallKind, Caller, CallerReport, LoadPlan, Outcome, Spacing};
 
-use super::layout::{self, Place};
+use super::layout::{self, NodePlacement};
 use crate::history::{CallerKey, CallerOutcome, Event, Recorded, RequestKey};
 
-/// Requests a second.
-const RATE: f64 = 40.0;
-/// Requests a second of the callers that repeat each request under the same key.
-const REPEATED_RATE: f64 = 4.0;
-/// Time from such a request to its repetition: most first ones have ended by then, slow ones have not.
-const REPEAT_AFTER: Duration = Duration::from_millis(250);
-/// Length of the answers that these callers ask for first.
-const FIRST_ANSWER_BYTES: usize = 2_000;
-/// Time after which a caller gives a request up, above every route's time limit.
-const PATIENCE_MILLIS: u64 = 8_000;
-/// Time that a request which must not repeat runs on its back end, in milliseconds.
+/// Requests per second of the mixed load.
+const REQUESTS_PER_SECOND: f64 = 40.0;
+/// Requests per second of each of the two callers that send the same idempotency keys.
+const REPEATED_REQUESTS_PER_SECOND: f64 = 4.0;
+/// Delay from such a request to its repetition: most first requests have finished by then, slow ones have
+/// not.
+const REPEAT_DELAY: Duration = Duration::from_millis(250);
+/// Response length that the first of these requests asks for; repetitions ask for one byte more.
+const FIRST_RESPONSE_BYTES: usize = 2_000;
+/// Time after which a caller abandons a request; longer than the timeout of every route.
+const CALLER_TIMEOUT_MILLIS: u64 = 8_000;
+/// Run time of long non-idempotent requests on the back end, in milliseconds.
 const LONG_RUN_MILLIS: u64 = 600;
 
-/// Answers of one caller, when it began, and whether it repeats the requests of another.
-pub struct Answers {
-    begun_at: Millis,
+/// Results of one caller, its start time, and whether it repeats the requests of another caller.
+pub struct CallerResults {
+    started_at: Millis,
     repeats: bool,
     answers: Vec<Answer>,
 }
 
-/// One caller that runs.
+/// A running caller.
 struct RunningCaller {
-    begun_at: Millis,
+    started_at: Millis,
     repeats: bool,
     caller: JoinHandle<CallerReport>,
 }
 
-/// The callers that run.
+/// All running callers.
 pub struct Callers {
     running: Vec<RunningCaller>,
 }
 
 impl Callers {
-    /// Starts the load through `edge` at `now`; it ends by itself after `duration`.
-    pub fn start(network: &Arc<dyn Network>, edge: &Place, seed: u64, now: Millis, duration: Millis) -> Self {
+    /// Starts the load through `edge` at `now`. Callers stop sending after `duration`.
+    pub fn start(
+        network: &Arc<dyn Network>,
+        edge: &NodePlacement,
+        seed: u64,
+        now: Millis,
+        duration: Millis,
+    ) -> Self {
         let plan = |label: &str, rate: f64, mix: Vec<CallKind>| LoadPlan {
             label: label.to_owned(),
             rate,
             spacing: Spacing::Poisson,
             duration_millis: duration.0,
-            patience_millis: PATIENCE_MILLIS,
+            patience_millis: CALLER_TIMEOUT_MILLIS,
             seed,
             mix,
         };
-        // The repetition has the same label, seed and rate, hence the same keys at the same distances; only its
-        // queries tell its requests from the first ones.
-        let repeated = |bytes: usize| plan("repeated", REPEATED_RATE, vec![keyed(edge, bytes)]);
+        // The repeating caller has the same label, seed and rate, hence the same keys at the same intervals.
+        // Its requests differ from the first ones only in the query, which holds the response length.
+        let repeated =
+            |bytes: usize| plan("repeated", REPEATED_REQUESTS_PER_SECOND, vec![keyed_kind(edge, bytes)]);
         let caller = |plan: LoadPlan, after: Duration, repeats: bool| RunningCaller {
-            begun_at: Millis(now.0 + after.as_millis() as u64),
+            started_at: Millis(now.0 + after.as_millis() as u64),
             repeats,
-            caller: spawn(network, plan, after),
+            caller: spawn_caller(network, plan, after),
         };
         let running = vec![
-            caller(plan("caller", RATE, mix(edge)), Duration::ZERO, false),
-            caller(repeated(FIRST_ANSWER_BYTES), Duration::ZERO, false),
-            caller(repeated(FIRST_ANSWER_BYTES + 1), REPEAT_AFTER, true),
+            caller(plan("caller", REQUESTS_PER_SECOND, mix(edge)), Duration::ZERO, false),
+            caller(repeated(FIRST_RESPONSE_BYTES), Duration::ZERO, false),
+            caller(repeated(FIRST_RESPONSE_BYTES + 1), REPEAT_DELAY, true),
         ];
         Self { running }
     }
 
-    /// Waits until every request has ended.
+    /// Waits until every request has finished.
     ///
     /// # Panics
-    /// If a caller panics, which would void the run's verdict.
-    pub async fn finish(self) -> Vec<Answers> {
+    /// If a caller panics, because the run is then invalid.
+    pub async fn finish(self) -> Vec<CallerResults> {
         let mut all = Vec::new();
-        for RunningCaller { begun_at, repeats, caller } in self.running {
-            let answers = caller.await.expect("callers end by themselves").answers;
-            all.push(Answers { begun_at, repeats, answers });
+        for RunningCaller { started_at, repeats, caller } in self.running {
+            let answers = caller.await.expect("a caller task does not panic").answers;
+            all.push(CallerResults { started_at, repeats, answers });
         }
         all
     }
 }
 
-fn spawn(network: &Arc<dyn Network>, plan: LoadPlan, after: Duration) -> JoinHandle<CallerReport> {
-    let caller = Caller::new(Arc::clone(network), plan).expect("the plan is sound");
+fn spawn_caller(network: &Arc<dyn Network>, plan: LoadPlan, after: Duration) -> JoinHandle<CallerReport> {
+    let caller = Caller::new(Arc::clone(network), plan).expect("the load plan is valid");
     tokio::spawn(async move {
         sleep(after).await;
         caller.run().await
     })
 }
 
-fn keyed(edge: &Place, answer_bytes: usize) -> CallKind {
+fn keyed_kind(edge: &NodePlacement, answer_bytes: usize) -> CallKind {
     CallKind { send_key: true, answer_bytes, ..kind(edge, "billing", false, 1) }
 }
 
-fn kind(edge: &Place, service: &str, idempotent: bool, weight: u32) -> CallKind {
+fn kind(edge: &NodePlacement, service: &str, idempotent: bool, weight: u32) -> CallKind {
     CallKind {
         service: ServiceName::new(service).expect("a valid name"),
         path_prefix: "/job".to_owned(),
@@ -116,26 +124,27 @@
     }
 }
 
-fn mix(edge: &Place) -> Vec<CallKind> {
+fn mix(edge: &NodePlacement) -> Vec<CallKind> {
     let kind = |service, idempotent, weight| kind(edge, service, idempotent, weight);
     vec![
         kind("archive", true, 4),
         kind("billing", false, 6),
         CallKind { send_key: true, ..kind("billing", false, 2) },
         CallKind { upload_bytes: 100_000, ..kind("billing", false, 1) },
-        // Long enough that faults meet it while it runs: what becomes of its lost answer is what matters most.
+        // Long enough that faults occur while it runs: the outcome of a lost response is the most important
+        // case.
         CallKind { hold_millis: Some(LONG_RUN_MILLIS), ..kind("billing", false, 3) },
         CallKind { stream_millis: 800, answer_bytes: 50_000, ..kind("solver", true, 2) },
         CallKind { hold_millis: Some(1_500), ..kind("solver", true, 1) },
     ]
 }
 
-/// The history of the calls: sent and finished, by the callers' word.
-pub fn history_of_answers(answers: &Answers) -> Vec<Recorded> {
+/// Returns the sent and finished events of requests, as recorded by a caller.
+pub fn caller_events(answers: &CallerResults) -> Vec<Recorded> {
     let mut events = Vec::new();
     for answer in &answers.answers {
-        let request = key_of(&answer.path);
-        let sent_at = Millis(answers.begun_at.0 + answer.due_millis);
+        let request = request_key(&answer.path);
+        let sent_at = Millis(answers.started_at.0 + answer.due_millis);
         let finished_at = Millis(sent_at.0 + answer.latency_micros / 1_000);
         let service = answer.service.clone();
         let idempotent = answer.idempotent;
@@ -143,22 +152,23 @@
             at: sent_at,
             event: Event::Sent { request, service, idempotent, repeats: answers.repeats },
         });
-        let outcome = outcome_of(answer.outcome);
+        let outcome = caller_outcome(answer.outcome);
         events.push(Recorded { at: finished_at, event: Event::Finished { request, outcome } });
     }
     events
 }
 
-/// The history of the runs: by the back end's ledger.
-pub fn history_of_ledger(begun_at: Millis, place: &Place, ledger: &Ledger) -> Vec<Recorded> {
-    let locality_allowed =
-        layout::allowed(place.service.as_str()).iter().any(|rule| rule.allows(&place.locality()));
+/// Returns the runs of requests, as recorded in the ledger of a back end.
+pub fn run_events(started_at: Millis, placement: &NodePlacement, ledger: &Ledger) -> Vec<Recorded> {
+    let locality_allowed = layout::allowed_localities(placement.service.as_str())
+        .iter()
+        .any(|rule| rule.allows(&placement.locality()));
     let executed = |entry: &umberpond_standins::backend::LedgerEntry| Recorded {
-        at: Millis(begun_at.0 + entry.started_millis),
+        at: Millis(started_at.0 + entry.started_millis),
         event: Event::Executed {
-            request: key_of(&entry.path),
-            node: place.node.clone(),
-            locality: place.locality(),
+            request: request_key(&entry.path),
+            node: placement.node.clone(),
+            locality: placement.locality(),
             caller_key: entry.idempotency_key.as_deref().map(|key| CallerKey(short_hash(key))),
             locality_allowed,
         },
@@ -166,8 +176,8 @@
     ledger.entries.iter().map(executed).collect()
 }
 
-/// The path names a call; its hash is the call's key in the history.
-fn key_of(path: &str) -> RequestKey {
+/// Returns the key of a request in the history: the hash of its path, which is unique to the request.
+fn request_key(path: &str) -> RequestKey {
     RequestKey(short_hash(path))
 }
 
@@ -178,7 +188,7 @@
     u64::from_le_bytes(first_bytes)
 }
 
-const fn outcome_of(outcome: Outcome) -> CallerOutcome {
+const fn caller_outcome(outcome: Outcome) -> CallerOutcome {
     match outcome {
         Outcome::Answered => CallerOutcome::Answered { whole: true, own: true },
         Outcome::WrongAnswer => CallerOutcome::Answered { whole: true, own: false },
--- a/testing/sim/src/cluster/chain.rs
+++ b/testing/sim/src/cluster/chain.rs
@@ -1,4 +1,4 @@
-//! The chain as the platform holds it at the end of a run: what every version truly is.
+//! The chain as the platform stores it at the end of a run: the reference content of every version.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -14,9 +14,9 @@
 /// One version of the chain.
 #[derive(Debug, Clone)]
 pub struct ChainVersion {
-    /// The submission that became it.
+    /// The submission that produced it.
     pub submission: SubmissionId,
-    /// The whole snapshot.
+    /// The complete snapshot.
     pub snapshot: Snapshot,
 }
 
@@ -26,18 +26,18 @@
 }
 
 impl Chain {
-    /// Reads the whole chain from a platform without faults.
+    /// Reads the complete chain from a platform without faults.
     ///
     /// # Panics
-    /// If the chain can't be read, which would void the run's verdict.
+    /// If the chain can't be read, because the run is then invalid.
     pub async fn read(network: Arc<dyn Network>) -> Self {
         let gate = PlatformGate::new(GateLimits::default());
         let client = PlatformClient::new(network, layout::PLATFORM, gate, ClientSettings::default());
         let reader = ChainReader::new(Arc::new(client));
-        let head = reader.read_head().await.expect("the platform answers");
+        let head = reader.read_head().await.expect("the platform responds");
         let steps = match head {
             Some(seen) => {
-                reader.read_steps_after(Version::GENESIS, &seen.head).await.expect("the chain is whole")
+                reader.read_steps_after(Version::GENESIS, &seen.head).await.expect("the chain is complete")
             }
             None => Vec::new(),
         };
@@ -54,7 +54,7 @@
         (1..).map(Version).zip(&self.versions)
     }
 
-    /// What every node must have in force at `version`.
+    /// The snapshot that every node must have in force at `version`.
     #[must_use]
     pub fn expected(&self, version: Version) -> Option<&Snapshot> {
         let index = usize::try_from(version.0).ok()?.checked_sub(1)?;
@@ -62,22 +62,22 @@
     }
 }
 
-/// Hash that stands for a version that does not exist.
+/// Placeholder hash for a version that does not exist.
 #[must_use]
-pub fn no_content() -> ContentHash {
+pub fn missing_version_hash() -> ContentHash {
     ContentHash::of(b"no such version")
 }
 
-/// Count of the secrets that a node of `service` must be able to open.
+/// Number of secrets that a node of `service` must be able to open.
 #[must_use]
 pub fn needed_secrets(snapshot: &Snapshot, service: &ServiceName) -> usize {
-    let called = snapshot.routes.values().filter(|route| route.callers.contains(service));
+    let callable_routes = snapshot.routes.values().filter(|route| route.callers.contains(service));
     let secrets: BTreeSet<_> =
-        called.flat_map(|route| &route.credentials).map(|credential| &credential.secret).collect();
+        callable_routes.flat_map(|route| &route.credentials).map(|credential| &credential.secret).collect();
     secrets.len()
 }
 
-/// References to services and secrets that `snapshot` lacks, counted without the daemon's own closure check.
+/// Number of references to services and secrets that `snapshot` lacks. Independent of the daemon's own check.
 #[must_use]
 pub fn dangling_references(snapshot: &Snapshot) -> usize {
     let routes = snapshot.routes.values();
--- a/testing/sim/src/cluster/layout.rs
+++ b/testing/sim/src/cluster/layout.rs
@@ -1,4 +1,4 @@
-//! Who runs where: three zones of one region, three services, one edge, and the bundle in force.
+//! Layout of the cluster: three zones of one region, three services, one edge node, and the bundles.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -14,17 +14,17 @@
     ZoneName,
 };
 
-/// Zones of the cluster.
+/// Number of zones.
 pub const ZONES: usize = 3;
-/// Services with back ends, one node of each in every zone.
+/// Services with back ends; each has one node in every zone.
 pub const SERVICES: [&str; 3] = ["archive", "billing", "solver"];
-/// Service whose callers enter at the edge.
+/// Service of the callers, which send their requests through the edge node.
 pub const CALLER_SERVICE: &str = "web";
-/// The one service that is not allowed in the last zone, where it has a back end all the same.
+/// The service that is not allowed in the last zone although it has a back end there.
 pub const RESTRICTED_SERVICE: &str = "billing";
-/// Bundle that holds everything at first.
+/// Name of the first bundle, which holds the initial configuration.
 pub const BASE_BUNDLE: &str = "base";
-/// Slots of a back end.
+/// Number of slots of a back end.
 pub const SLOTS: u32 = 20;
 
 const REGION: &str = "eu-north";
@@ -37,34 +37,34 @@
 const PLATFORM_PORT: u16 = 9_000;
 const SECRET: &str = "billing-token";
 const SECRET_VALUE: &str = "a-value-that-appears-nowhere";
-/// Connections of a back end.
+/// Connection limit of a back end.
 const CONNECTIONS: u32 = 130;
 
-/// One node of the cluster.
+/// Name, service and location of one node.
 #[derive(Debug, Clone)]
-pub struct Place {
-    /// Number of the node.
-    pub number: usize,
-    /// Its name.
+pub struct NodePlacement {
+    /// Index of the node in the layout.
+    pub index: usize,
+    /// Name of the node.
     pub node: NodeName,
-    /// Its service: the back end's, or the callers' at the edge.
+    /// Service of the node's back end, or of the callers on the edge node.
     pub service: ServiceName,
-    /// Zone number.
+    /// Index of the zone.
     pub zone: usize,
-    /// Whether it is the edge.
+    /// Whether this is the edge node.
     pub is_edge: bool,
 }
 
-/// All nodes: one of each service in every zone, and the edge in the first zone.
+/// Returns all nodes: one of each service in every zone, and the edge node in the first zone.
 #[must_use]
-pub fn places() -> Vec<Place> {
-    let mut places = Vec::new();
+pub fn placements() -> Vec<NodePlacement> {
+    let mut placements = Vec::new();
     for (zone, zone_name) in ZONE_NAMES.into_iter().enumerate() {
         for service in SERVICES {
-            let number = places.len();
+            let index = placements.len();
             let node = name(NodeName::new(&format!("{service}-{zone_name}")));
-            places.push(Place {
-                number,
+            placements.push(NodePlacement {
+                index,
                 node,
                 service: name(ServiceName::new(service)),
                 zone,
@@ -72,74 +72,80 @@
             });
         }
     }
-    let number = places.len();
+    let index = placements.len();
     let service = name(ServiceName::new(CALLER_SERVICE));
-    places.push(Place { number, node: name(NodeName::new("edge")), service, zone: 0, is_edge: true });
-    places
+    placements.push(NodePlacement {
+        index,
+        node: name(NodeName::new("edge")),
+        service,
+        zone: 0,
+        is_edge: true,
+    });
+    placements
 }
 
-/// The layout's names are constants that follow the naming rule.
+/// Unwraps a checked name. All names of the layout are constants that follow the naming rule.
 fn name<T, E: std::fmt::Debug>(checked: Result<T, E>) -> T {
     checked.expect("the layout's names follow the naming rule")
 }
 
-impl Place {
-    /// Where the node runs.
+impl NodePlacement {
+    /// Region and zone of the node.
     #[must_use]
     pub fn locality(&self) -> Locality {
         locality(self.zone)
     }
 
-    /// Address of the node's process.
+    /// Host of the node's process.
     #[must_use]
     pub fn host(&self) -> IpAddr {
-        address(self.zone, self.number, 1)
+        address(self.zone, self.index, 1)
     }
 
-    /// Address of the back end beside it.
+    /// Host of the node's back end.
     #[must_use]
     pub fn back_end_host(&self) -> IpAddr {
-        address(self.zone, self.number, 2)
+        address(self.zone, self.index, 2)
     }
 
-    /// Control listener.
+    /// Address of the control listener.
     #[must_use]
     pub fn control(&self) -> SocketAddr {
         SocketAddr::new(self.host(), CONTROL_PORT)
     }
 
-    /// Inbound proxy.
+    /// Address of the inbound proxy.
     #[must_use]
     pub fn inbound(&self) -> SocketAddr {
         SocketAddr::new(self.host(), INBOUND_PORT)
     }
 
-    /// Outbound proxy.
+    /// Address of the outbound proxy.
     #[must_use]
     pub fn outbound(&self) -> SocketAddr {
         SocketAddr::new(self.host(), OUTBOUND_PORT)
     }
 
-    /// Admin listener.
+    /// Address of the admin listener.
     #[must_use]
     pub fn admin(&self) -> SocketAddr {
         SocketAddr::new(self.host(), ADMIN_PORT)
     }
 
-    /// The back end.
+    /// Address of the back end.
     #[must_use]
     pub fn back_end(&self) -> SocketAddr {
         SocketAddr::new(self.back_end_host(), BACK_END_PORT)
     }
 }
 
-/// Region and zone number `zone`.
+/// Returns the region and zone with the index `zone`.
 #[must_use]
 pub fn locality(zone: usize) -> Locality {
     Locality { region: name(RegionName::new(REGION)), zone: name(ZoneName::new(ZONE_NAMES[zone])) }
 }
 
-/// 10.zone.node.process; zones 200 and up are outside.
+/// Returns the address `10.zone.node.process`. Zones from 200 on are hosts outside the cluster.
 const fn address(zone: usize, node: usize, process: u8) -> IpAddr {
     IpAddr::V4(Ipv4Addr::new(10, zone as u8, node as u8, process))
 }
@@ -151,10 +157,10 @@
 /// Host of the callers.
 pub const CALLER_HOST: IpAddr = address(202, 0, 1);
 
-/// The platform's object API.
+/// Address of the platform's object API.
 pub const PLATFORM: SocketAddr = SocketAddr::new(PLATFORM_HOST, PLATFORM_PORT);
 
-/// One-way delay between two hosts: none inside a machine, 1 ms otherwise.
+/// One-way delay between two hosts: none within a machine, 1 ms otherwise.
 #[must_use]
 pub fn delay_between(one: IpAddr, other: IpAddr) -> Millis {
     let (IpAddr::V4(one), IpAddr::V4(other)) = (one, other) else { return Millis(1) };
@@ -162,15 +168,15 @@
     Millis(u64::from(!is_same_machine))
 }
 
-/// The key pair of the calling service.
+/// The seal key pair of the calling service.
 #[must_use]
 pub fn caller_key() -> SealKeyPair {
     SealKeyPair::generate(&mut ChaCha8Rng::seed_from_u64(0))
 }
 
-/// Localities in which `service` may be served, in every version of every run.
+/// Localities in which `service` is allowed, in every version of every run.
 #[must_use]
-pub fn allowed(service: &str) -> Vec<LocalityRule> {
+pub fn allowed_localities(service: &str) -> Vec<LocalityRule> {
     let zones = if service == RESTRICTED_SERVICE { 0..ZONES - 1 } else { 0..ZONES };
     zones
         .map(|zone| {
@@ -180,7 +186,7 @@
         .collect()
 }
 
-/// The first bundle: every zone, service, route and the one secret.
+/// The first bundle, with all zones and services, the initial routes and the secret.
 #[must_use]
 pub fn base_bundle() -> Bundle {
     let mut bundle = Bundle::default();
@@ -190,7 +196,7 @@
     for service in SERVICES.into_iter().chain([CALLER_SERVICE]) {
         let seal_key = (service == CALLER_SERVICE).then(|| key.public());
         let name = name(ServiceName::new(service));
-        let allowed = allowed(service);
+        let allowed = allowed_localities(service);
         let service = Service {
             name: name.clone(),
             allowed,
@@ -218,7 +224,7 @@
     bundle
 }
 
-/// A bundle with one route of its own, whose time limit tells versions apart.
+/// A bundle with one additional route, whose timeout differs between versions.
 #[must_use]
 pub fn extra_bundle(number: u64) -> Bundle {
     let mut bundle = Bundle::default();
@@ -229,13 +235,13 @@
     bundle
 }
 
-/// Name of the bundle that [`extra_bundle`] goes into.
+/// Name under which [`extra_bundle`] is submitted.
 #[must_use]
 pub fn extra_bundle_name(number: u64) -> BundleName {
     name(BundleName::new(&format!("extra-{}", number % 4)))
 }
 
-/// Name of the first bundle.
+/// Typed name of the first bundle.
 #[must_use]
 pub fn base_bundle_name() -> BundleName {
     name(BundleName::new(BASE_BUNDLE))
--- a/testing/sim/src/cluster/mod.rs
+++ b/testing/sim/src/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! The full stack in one process: the real daemon, with platform, back ends and callers as stand-ins, over
-//! simulated links on tokio's paused clock.
+//! A cluster in one process: the real daemon with a simulated platform, back ends and callers, over an
+//! in-memory network on tokio's paused clock.
 
 mod callers;
 mod chain;
--- a/testing/sim/src/cluster/observer.rs
+++ b/testing/sim/src/cluster/observer.rs
@@ -1,4 +1,4 @@
-//! Records what happens, with its virtual time.
+//! Records the events of a run with their virtual times.
 
 use std::sync::Arc;
 
@@ -9,59 +9,59 @@
 
 use crate::history::{Event, Recorded};
 
-/// A version that a node has put in force, before it is compared with the chain.
+/// Activation of a version on a node, before it is compared with the chain.
 #[derive(Debug, Clone)]
 pub struct Activation {
-    /// Number of the node.
-    pub place: usize,
+    /// Index of the node.
+    pub node_index: usize,
     /// The node.
     pub node: NodeName,
-    /// Number of the process among those of the node.
+    /// Number of the process of this node, counted from 1.
     pub process: u64,
     /// The version.
     pub version: Version,
-    /// Hash of what is in force.
+    /// Hash of the activated configuration.
     pub content: ContentHash,
-    /// Secrets that the node could open.
+    /// Number of secrets that the node could open.
     pub secrets: usize,
-    /// When.
+    /// Virtual time of the activation.
     pub at: Millis,
 }
 
-/// What a run has recorded so far. Clones share it.
+/// Records what happens in a run. Clones share one record.
 #[derive(Debug, Clone)]
 pub struct Recorder {
-    begun: Instant,
+    started_at: Instant,
     inner: Arc<Mutex<Record>>,
 }
 
-/// Everything that a run has recorded.
+/// The record of a run.
 #[derive(Debug, Default)]
 pub struct Record {
     /// Events that need no comparison with the chain.
     pub events: Vec<Recorded>,
-    /// Versions put in force.
+    /// Activations of versions on nodes.
     pub activations: Vec<Activation>,
-    /// When the head was first seen at each version.
+    /// Versions of the head, each with the time at which it was first seen.
     pub head_moves: Vec<(Millis, Version)>,
-    /// The trace, for people.
+    /// Human-readable trace.
     pub trace: Vec<String>,
 }
 
 impl Recorder {
-    /// A record that begins now.
+    /// Creates an empty record that starts now.
     #[must_use]
     pub fn new() -> Self {
-        Self { begun: Instant::now(), inner: Arc::default() }
+        Self { started_at: Instant::now(), inner: Arc::default() }
     }
 
-    /// Virtual time since the begin.
+    /// Virtual time since the start.
     #[must_use]
     pub fn now(&self) -> Millis {
-        Millis(u64::try_from(self.begun.elapsed().as_millis()).unwrap_or(u64::MAX))
+        Millis(u64::try_from(self.started_at.elapsed().as_millis()).unwrap_or(u64::MAX))
     }
 
-    /// Records an event that happens now.
+    /// Records an event at the current virtual time.
     pub fn record(&self, event: Event) {
         let at = self.now();
         let mut inner = self.inner.lock();
@@ -69,36 +69,36 @@
         inner.events.push(Recorded { at, event });
     }
 
-    /// Notes that the head was seen at a newer version.
+    /// Records that the head is at a newer version.
     pub fn head_moved(&self, version: Version) {
         let at = self.now();
         self.trace(&format!("platform: the head is at version {version}"));
         self.inner.lock().head_moves.push((at, version));
     }
 
-    /// Everything recorded.
+    /// Takes everything recorded so far.
     #[must_use]
     pub fn take(&self) -> Record {
         std::mem::take(&mut *self.inner.lock())
     }
 
-    /// Adds a line to the trace for people.
+    /// Adds a line to the trace.
     pub fn trace(&self, line: &str) {
         let at = self.now();
         self.inner.lock().trace.push(format!("{:>7} ms {line}", at.0));
     }
 }
 
-/// Sees the events of one process.
+/// Receives the events of one process.
 #[derive(Debug)]
 pub struct ProcessObserver {
-    /// Number of the node.
-    pub place: usize,
+    /// Index of the node.
+    pub node_index: usize,
     /// The node.
     pub node: NodeName,
-    /// Number of the process among those of the node.
+    /// Number of the process of this node, counted from 1.
     pub process: u64,
-    /// Where they go.
+    /// Recorder of the run.
     pub recorder: Recorder,
 }
 
@@ -107,7 +107,7 @@
         self.recorder.trace(&format!("{}: {event:?}", self.node));
         if let NodeEvent::VersionActivated { version, content, secrets, .. } = event {
             let activation = Activation {
-                place: self.place,
+                node_index: self.node_index,
                 node: self.node.clone(),
                 process: self.process,
                 version: *version,
--- a/testing/sim/src/cluster/operators.rs
+++ b/testing/sim/src/cluster/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: they submit bundles through the nodes' admin API and ask again when the outcome is unknown.
+//! Operators, which submit bundles through the admin API of a node and poll the result while it is unknown.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,27 +17,27 @@
 use super::observer::Recorder;
 use crate::history::{Event, SubmissionClaim};
 
-/// Longest time an operator waits for one answer.
-const PATIENCE: Duration = Duration::from_secs(12);
-/// Time between two questions about a submission.
-const ASK_AGAIN: Duration = Duration::from_secs(1);
-/// Questions after which the operator leaves it at unknown.
-const MAX_QUESTIONS: usize = 20;
-/// Largest answer read.
-const MAX_ANSWER_BYTES: usize = 1024 * 1024;
+/// Timeout of one request to the admin API.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(12);
+/// Interval between two status requests for a submission.
+const STATUS_POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Number of status requests after which the result stays unknown.
+const MAX_STATUS_REQUESTS: usize = 20;
+/// Size limit of a response body.
+const MAX_RESPONSE_BYTES: usize = 1024 * 1024;
 
-/// One operator.
+/// Submits bundles and records their results.
 #[derive(Clone)]
 pub struct Operator {
-    /// The operator's network.
+    /// Network interface of the operators' host.
     pub network: Arc<dyn Network>,
-    /// The record.
+    /// Recorder of the run.
     pub recorder: Recorder,
 }
 
-/// What is submitted.
+/// A bundle to submit.
 pub struct Submission {
-    /// Its identity.
+    /// Identifier of the submission.
     pub id: SubmissionId,
     /// Name of the bundle.
     pub bundle: BundleName,
@@ -46,23 +46,29 @@
 }
 
 impl Operator {
-    /// Submits through the node at `admin` and, while the outcome is unknown, asks the nodes at `others` in turn.
+    /// Submits through the node at `admin`. While the result is unknown, polls the nodes at `others` in turn.
     pub async fn submit(&self, admin: SocketAddr, others: &[SocketAddr], submission: Submission) {
         let path = format!("/v1/bundles/{}?submission={}", submission.bundle, submission.id);
         let body = Bytes::from(submission.content.to_bytes());
-        let mut claim = self.ask(Method::PUT, admin, &path, body).await;
-        let question = format!("/v1/submissions/{}", submission.id);
-        for asked in others.iter().cycle().take(MAX_QUESTIONS) {
+        let mut claim = self.request_result(Method::PUT, admin, &path, body).await;
+        let status_path = format!("/v1/submissions/{}", submission.id);
+        for polled in others.iter().cycle().take(MAX_STATUS_REQUESTS) {
             if claim != SubmissionClaim::Unknown {
                 break;
             }
-            sleep(ASK_AGAIN).await;
-            claim = self.ask(Method::GET, *asked, &question, Bytes::new()).await;
+            sleep(STATUS_POLL_INTERVAL).await;
+            claim = self.request_result(Method::GET, *polled, &status_path, Bytes::new()).await;
         }
         self.recorder.record(Event::SubmissionTold { submission: submission.id, claim });
     }
 
-    async fn ask(&self, method: Method, admin: SocketAddr, path: &str, body: Bytes) -> SubmissionClaim {
+    async fn request_result(
+        &self,
+        method: Method,
+        admin: SocketAddr,
+        path: &str,
+        body: Bytes,
+    ) -> SubmissionClaim {
         let exchange = async {
             let request = Request::builder()
                 .method(method)
@@ -71,17 +77,17 @@
                 .body(Full::new(body))
                 .ok()?;
             let exchange = send_request(&*self.network, admin, request).await.ok()?;
-            let answer = collect_body(exchange, MAX_ANSWER_BYTES).await.ok()?;
-            serde_json::from_slice::<SubmissionResult>(answer.body()).ok()
+            let response = collect_body(exchange, MAX_RESPONSE_BYTES).await.ok()?;
+            serde_json::from_slice::<SubmissionResult>(response.body()).ok()
         };
-        match timeout(PATIENCE, exchange).await {
-            Ok(Some(result)) => claim_of(&result),
+        match timeout(REQUEST_TIMEOUT, exchange).await {
+            Ok(Some(result)) => submission_claim(&result),
             Ok(None) | Err(_) => SubmissionClaim::Unknown,
         }
     }
 }
 
-const fn claim_of(result: &SubmissionResult) -> SubmissionClaim {
+const fn submission_claim(result: &SubmissionResult) -> SubmissionClaim {
     match result {
         SubmissionResult::Accepted { version, .. } => SubmissionClaim::Accepted(*version),
         SubmissionResult::Unknown { .. } => SubmissionClaim::Unknown,
@@ -91,7 +97,8 @@
     }
 }
 
-/// Submits one small change through the node that `number` chooses. `salt` tells apart changes of equal number.
+/// Submits one small change through a node selected by `number`. `salt` distinguishes the identifiers of
+/// changes with the same number.
 pub(super) async fn submit_changes(operator: Operator, admins: Vec<SocketAddr>, number: u64, salt: u64) {
     let content = layout::extra_bundle(number);
     let bundle = layout::extra_bundle_name(number);
--- a/testing/sim/src/cluster/process.rs
+++ b/testing/sim/src/cluster/process.rs
@@ -1,4 +1,4 @@
-//! Starting and ending the processes of one node.
+//! Starts and stops the processes of one node and its back end.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -22,161 +22,163 @@
 use umberpond_store::{ClientSettings, GateLimits, ObjectStore, PlatformClient, PlatformGate};
 use umberpond_telemetry::Telemetry;
 
-use super::layout::{self, Place};
+use super::layout::{self, NodePlacement};
 use super::observer::{ProcessObserver, Recorder};
 use crate::history::Event;
 use umberpond_virtual_network::SimNetwork;
 
-/// Milliseconds since the Unix epoch at the begin of every run.
-const RUN_BEGIN_MILLIS: u64 = 1_700_000_000_000;
-/// Time between two health checks of a back end.
+/// Start time of every run, in milliseconds since the Unix epoch.
+const RUN_START_UNIX_MILLIS: u64 = 1_700_000_000_000;
+/// Interval between two health checks of a back end.
 const CHECK_INTERVAL: Duration = Duration::from_millis(250);
-/// Time from the order to stop until the process is killed; the longest request takes less.
-const GRACE: Duration = Duration::from_secs(12);
-/// Service time of a back end.
+/// Grace period of a planned stop; longer than the longest request.
+const STOP_GRACE: Duration = Duration::from_secs(12);
+/// Time that a back end takes for one request.
 const SERVICE_TIME: Duration = Duration::from_millis(60);
 
-/// A back end and the time at which it began.
+/// A running back end and its start time.
 struct RunningBackEnd {
-    begun_at: Millis,
+    started_at: Millis,
     back_end: Backend,
 }
 
 /// One node of the cluster with its back end.
 pub struct NodeSlot {
-    /// Who and where.
-    pub place: Place,
-    /// The running process, if any.
+    /// Name, service and location of the node.
+    pub placement: NodePlacement,
+    /// The running process, if there is one.
     running: Option<RunningProcess>,
-    /// The back end, while it runs.
+    /// The running back end, if there is one.
     back_end: Option<RunningBackEnd>,
-    /// Ledgers of back ends that died, with the time at which each began.
+    /// Ledgers of killed back ends, each with the start time of the back end.
     past_ledgers: Vec<(Millis, Ledger)>,
+    /// Number of processes started so far.
     generation: u64,
 }
 
-/// A process that runs.
+/// A running process.
 struct RunningProcess {
     daemon: Arc<RunningDaemon>,
-    /// The operators' listener.
+    /// Task that serves the admin API.
     admin: AbortHandle,
 }
 
-/// What processes need.
-pub struct Surroundings {
-    /// The links.
+/// State of a run that all its processes share.
+pub struct RunContext {
+    /// The in-memory network.
     pub network: SimNetwork,
-    /// Name of the run.
+    /// Seed of the run.
     pub seed: u64,
-    /// The record.
+    /// Recorder of the run.
     pub recorder: Recorder,
-    /// Begin of the run.
-    pub begun: Instant,
+    /// Start of the run on the paused clock.
+    pub started_at: Instant,
 }
 
-impl Surroundings {
-    /// The network as seen by `host`.
+impl RunContext {
+    /// Network interface of `host`.
     pub fn host(&self, host: std::net::IpAddr) -> Arc<dyn Network> {
         self.network.host(host)
     }
 }
 
 impl NodeSlot {
-    /// A slot with its back end running and no process.
+    /// Creates a slot with a running back end and no process.
     ///
     /// # Panics
-    /// If the back end can't listen, which the simulated network never refuses at a fresh address.
-    pub async fn new(place: Place, surroundings: &Surroundings) -> Self {
-        let mut slot = Self { place, running: None, back_end: None, past_ledgers: Vec::new(), generation: 0 };
-        slot.start_back_end(surroundings).await;
+    /// If the back end can't listen, which the in-memory network never refuses at an unused address.
+    pub async fn new(placement: NodePlacement, context: &RunContext) -> Self {
+        let mut slot =
+            Self { placement, running: None, back_end: None, past_ledgers: Vec::new(), generation: 0 };
+        slot.start_back_end(context).await;
         slot
     }
 
-    /// Starts the back end without memory, unless it runs or the node has none.
+    /// Starts the back end with empty state, unless it is running or the node has none.
     ///
     /// # Panics
-    /// If the back end can't listen, which the simulated network never refuses at a fresh address.
-    pub async fn start_back_end(&mut self, surroundings: &Surroundings) {
-        if self.place.is_edge || self.back_end.is_some() {
+    /// If the back end can't listen, which the in-memory network never refuses at an unused address.
+    pub async fn start_back_end(&mut self, context: &RunContext) {
+        if self.placement.is_edge || self.back_end.is_some() {
             return;
         }
-        let place = &self.place;
-        let network = surroundings.host(place.back_end_host());
+        let placement = &self.placement;
+        let network = context.host(placement.back_end_host());
         let settings = BackendSettings {
-            name: place.node.to_string(),
-            service: place.service.clone(),
-            locality: place.locality(),
+            name: placement.node.to_string(),
+            service: placement.service.clone(),
+            locality: placement.locality(),
             slots: u64::from(layout::SLOTS),
             service_time: SERVICE_TIME,
             cold_start: Duration::ZERO,
             warm_up: Duration::ZERO,
         };
-        let begun_at = surroundings.recorder.now();
-        let started = Backend::start(&*network, place.back_end(), settings).await;
-        let back_end = started.expect("a fresh address can be listened at");
-        self.back_end = Some(RunningBackEnd { begun_at, back_end });
+        let started_at = context.recorder.now();
+        let started = Backend::start(&*network, placement.back_end(), settings).await;
+        let back_end = started.expect("an unused address can be bound");
+        self.back_end = Some(RunningBackEnd { started_at, back_end });
     }
 
-    /// Ends the back end in the middle of its work; its node is marked as hit by a fault.
-    pub fn kill_back_end(&mut self, surroundings: &Surroundings) {
-        let Some(RunningBackEnd { begun_at, back_end }) = self.back_end.take() else { return };
-        surroundings.recorder.record(Event::FaultBegan { node: self.place.node.clone() });
-        surroundings.network.kill(self.place.back_end_host());
-        self.past_ledgers.push((begun_at, back_end.ledger()));
+    /// Kills the back end with its requests in flight and records a fault of its node.
+    pub fn kill_back_end(&mut self, context: &RunContext) {
+        let Some(RunningBackEnd { started_at, back_end }) = self.back_end.take() else { return };
+        context.recorder.record(Event::FaultBegan { node: self.placement.node.clone() });
+        context.network.kill(self.placement.back_end_host());
+        self.past_ledgers.push((started_at, back_end.ledger()));
     }
 
-    /// Changes the time that the back end adds to each request; its node is marked as hit by a fault.
-    pub fn slow_back_end(&self, surroundings: &Surroundings, delay_millis: u64) {
+    /// Sets the time that the back end adds to each request and records a fault of its node.
+    pub fn slow_back_end(&self, context: &RunContext, delay_millis: u64) {
         let Some(running) = &self.back_end else { return };
-        surroundings.recorder.record(Event::FaultBegan { node: self.place.node.clone() });
+        context.recorder.record(Event::FaultBegan { node: self.placement.node.clone() });
         running
             .back_end
             .change_faults(&FaultChange { delay_millis: Some(delay_millis), ..FaultChange::default() });
     }
 
-    /// What all back ends of this node ran, each with the time at which it began.
+    /// Ledgers of all back ends of this node, each with the start time of the back end.
     pub fn ledgers(&self) -> impl Iterator<Item = (Millis, Ledger)> + '_ {
-        let running = self.back_end.iter().map(|running| (running.begun_at, running.back_end.ledger()));
+        let running = self.back_end.iter().map(|running| (running.started_at, running.back_end.ledger()));
         self.past_ledgers.iter().cloned().chain(running)
     }
 
-    /// Starts a process without memory, unless one runs.
-    pub async fn start(&mut self, surroundings: &Surroundings) {
+    /// Starts a process with empty state, unless one is running.
+    pub async fn start(&mut self, context: &RunContext) {
         if self.running.is_some() {
             return;
         }
         self.generation += 1;
         let observer = ProcessObserver {
-            place: self.place.number,
-            node: self.place.node.clone(),
+            node_index: self.placement.index,
+            node: self.placement.node.clone(),
             process: self.generation,
-            recorder: surroundings.recorder.clone(),
+            recorder: context.recorder.clone(),
         };
         let environment = Environment {
-            network: surroundings.host(self.place.host()),
-            seed: self.process_seed(surroundings.seed),
+            network: context.host(self.placement.host()),
+            seed: self.process_seed(context.seed),
             telemetry: Telemetry::to_observer(Arc::new(observer)),
             boot_clock: Arc::new(NoBootClock),
         };
-        surroundings.recorder.record(Event::Started { node: self.place.node.clone() });
-        match self.start_daemon(environment, surroundings.begun).await {
+        context.recorder.record(Event::Started { node: self.placement.node.clone() });
+        match self.start_daemon(environment, context.started_at).await {
             Ok(running) => self.running = Some(running),
             Err(error) => {
-                surroundings.recorder.trace(&format!("{}: start failed: {error:?}", self.place.node))
+                context.recorder.trace(&format!("{}: start failed: {error:?}", self.placement.node))
             }
         }
     }
 
-    /// Starts the daemon and the operators' listener as the program does.
+    /// Starts the daemon and its admin listener as the `umberpond` program does.
     async fn start_daemon(
         &self,
         environment: Environment,
-        run_begun: Instant,
+        run_started_at: Instant,
     ) -> Result<RunningProcess, StartError> {
         let gate = PlatformGate::new(GateLimits::default());
         let network = Arc::clone(&environment.network);
         let client = PlatformClient::new(network, layout::PLATFORM, gate, ClientSettings::default());
-        let store: Arc<dyn ObjectStore> = Arc::new(client.named(self.place.node.clone()));
+        let store: Arc<dyn ObjectStore> = Arc::new(client.named(self.placement.node.clone()));
         let extensions = Extensions {
             source: Arc::new(ChainSource::new(Arc::clone(&store))),
             directory: Arc::new(StoreDirectory::new(Arc::clone(&store))),
@@ -187,39 +189,39 @@
         };
         let daemon = Arc::new(Daemon::start(self.config(), environment.clone(), extensions).await?);
         let time_of_day =
-            move || RUN_BEGIN_MILLIS + u64::try_from(run_begun.elapsed().as_millis()).unwrap_or(0);
+            move || RUN_START_UNIX_MILLIS + u64::try_from(run_started_at.elapsed().as_millis()).unwrap_or(0);
         let handler = AdminHandler::new(Arc::clone(&daemon), store, Arc::new(time_of_day), environment.seed);
-        let listener = listen(&environment, "admin", self.place.admin()).await?;
+        let listener = listen(&environment, "admin", self.placement.admin()).await?;
         let admin = tokio::spawn(serve_http(listener, Arc::new(handler), ADMIN_BODY_BYTES)).abort_handle();
         Ok(RunningProcess { daemon, admin })
     }
 
-    /// The running process and its number among the processes of this node.
+    /// Returns the running process and its generation.
     pub fn process(&self) -> Option<(Arc<RunningDaemon>, u64)> {
         self.running.as_ref().map(|running| (Arc::clone(&running.daemon), self.generation))
     }
 
-    /// Takes in that the process has ended by itself.
-    pub fn ended(&mut self, surroundings: &Surroundings) {
+    /// Cleans up after the process has exited by itself.
+    pub fn on_process_exit(&mut self, context: &RunContext) {
         if let Some(running) = self.running.take() {
             running.admin.abort();
-            surroundings.network.kill(self.place.host());
+            context.network.kill(self.placement.host());
         }
     }
 
-    /// Ends the process as a kill would: nothing of it reaches anybody from here on.
-    pub fn kill(&mut self, surroundings: &Surroundings) {
+    /// Kills the process: from now on it can neither send nor receive anything.
+    pub fn kill(&mut self, context: &RunContext) {
         if let Some(running) = self.running.take() {
-            surroundings.network.kill(self.place.host());
+            context.network.kill(self.placement.host());
             running.daemon.kill();
             running.admin.abort();
-            surroundings.recorder.record(Event::FaultBegan { node: self.place.node.clone() });
-            surroundings.recorder.record(Event::Stopped { node: self.place.node.clone() });
+            context.recorder.record(Event::FaultBegan { node: self.placement.node.clone() });
+            context.recorder.record(Event::Stopped { node: self.placement.node.clone() });
         }
     }
 
     fn process_seed(&self, run_seed: u64) -> u64 {
-        let name = format!("{run_seed} {} {}", self.place.node, self.generation);
+        let name = format!("{run_seed} {} {}", self.placement.node, self.generation);
         let hash = blake3::hash(name.as_bytes());
         let mut first_bytes = [0; 8];
         first_bytes.copy_from_slice(&hash.as_bytes()[..8]);
@@ -227,32 +229,32 @@
     }
 
     fn config(&self) -> NodeConfig {
-        let place = &self.place;
+        let placement = &self.placement;
         let mut topology = Topology::new();
         for zone in 0..layout::ZONES {
             let locality = layout::locality(zone);
             topology.entry(locality.region).or_default().insert(locality.zone);
         }
         NodeConfig {
-            node: place.node.clone(),
-            service: place.service.clone(),
+            node: placement.node.clone(),
+            service: placement.service.clone(),
             is_first_start: self.generation == 1,
-            locality: place.locality(),
+            locality: placement.locality(),
             topology,
             listen: ListenAddresses {
-                inbound: place.inbound(),
-                outbound: place.outbound(),
-                admin: place.admin(),
-                control: place.control(),
+                inbound: placement.inbound(),
+                outbound: placement.outbound(),
+                admin: placement.admin(),
+                control: placement.control(),
                 registration: None,
             },
             advertise: AdvertisedAddresses::default(),
-            back_end: (!place.is_edge).then(|| BackEndConfig {
+            back_end: (!placement.is_edge).then(|| BackEndConfig {
                 check_interval: CHECK_INTERVAL,
-                ..BackEndConfig::at(place.back_end())
+                ..BackEndConfig::at(placement.back_end())
             }),
             store: layout::PLATFORM,
-            seal_key: place.is_edge.then(|| Arc::new(layout::caller_key())),
+            seal_key: placement.is_edge.then(|| Arc::new(layout::caller_key())),
             link_rate: None,
             retry_budget: RetryBudgetSettings::default(),
             rollouts: None,
@@ -260,7 +262,7 @@
             keeps_slots_for_calls: false,
             chooses_by_speed: false,
             log: LogConfig::default(),
-            grace: GRACE,
+            grace: STOP_GRACE,
         }
     }
 }
--- a/testing/sim/src/history.rs
+++ b/testing/sim/src/history.rs
@@ -1,180 +1,180 @@
-//! What happened in a run, in the order in which it happened.
+//! Event history of a run, in the order of virtual time.
 
 use umberpond_model::{ContentHash, Locality, Millis, NodeName, ServiceName, SubmissionId, Version};
 
-/// Identity of one logical request of a caller; every attempt of it carries the same one.
+/// Identifier of one logical request of a caller, shared by all of its attempts.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestKey(pub u64);
 
-/// A caller's own key; requests that repeat one another carry the same one.
+/// Idempotency key of a caller; requests that repeat one another have the same key.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct CallerKey(pub u64);
 
-/// What the caller was told at the end of a request.
+/// Outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum CallerOutcome {
-    /// An answer of the back end came to a clean end.
+    /// A response of the back end ended without an error.
     Answered {
-        /// Whether every byte of the answer came.
+        /// Whether the response is complete.
         whole: bool,
-        /// Whether it is the answer to this very request.
+        /// Whether it is the response to this request.
         own: bool,
     },
-    /// The request was refused as rejected before execution.
+    /// The request was reported as rejected before execution.
     Rejected,
-    /// The caller was told that the outcome is unknown.
+    /// It is unknown whether the request ran.
     Unknown,
-    /// The answer visibly broke off.
+    /// The response was truncated, and the caller noticed.
     Cut,
 }
 
-/// What an operator was told of a submission, at last.
+/// Final result of a submission for its operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SubmissionClaim {
     /// It became this version.
     Accepted(Version),
     /// It did not become a version and never will.
     NotAccepted,
-    /// Nobody could tell.
+    /// No node reported a result.
     Unknown,
 }
 
-/// One thing that happened.
+/// An event of a run.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Event {
     /// The platform's head moved to a version.
     Accepted {
         /// The version.
         version: Version,
-        /// The submission that became it.
+        /// The submission that produced it.
         submission: SubmissionId,
     },
-    /// An operator got the last word on a submission.
+    /// An operator received the final result of a submission.
     SubmissionTold {
         /// The submission.
         submission: SubmissionId,
-        /// What was said.
+        /// The result.
         claim: SubmissionClaim,
     },
-    /// A node put a configuration in force.
+    /// A node activated a configuration.
     Activated {
         /// The node.
         node: NodeName,
-        /// Number of the process among those of the node.
+        /// Number of the process of this node, counted from 1.
         process: u64,
         /// The version.
         version: Version,
-        /// Hash of what was put in force.
+        /// Hash of the activated configuration.
         snapshot: ContentHash,
-        /// Hash of the version's snapshot, worked out by the simulation itself.
+        /// Hash of the version's snapshot, computed by the simulation from the chain.
         expected: ContentHash,
-        /// References to services and secrets that the node lacks.
+        /// Number of references to services and secrets that the node lacks.
         dangling_references: usize,
     },
     /// A caller sent a request.
     Sent {
         /// The request.
         request: RequestKey,
-        /// Service it is for.
+        /// Service that the request is for.
         service: ServiceName,
-        /// Whether it may run more than once.
+        /// Whether the request may run more than once.
         idempotent: bool,
-        /// Whether the caller repeats an earlier request under the same key, so that a refusal is the right answer.
+        /// Whether it repeats an earlier request under the same key, so that a refusal is a correct response.
         repeats: bool,
     },
-    /// A back end began to run a request.
+    /// A back end started to run a request.
     Executed {
         /// The request.
         request: RequestKey,
-        /// Node beside the back end.
+        /// Node of the back end.
         node: NodeName,
-        /// Where the back end runs.
+        /// Locality of the back end.
         locality: Locality,
-        /// The caller's own key, if the request carries one.
+        /// The caller's idempotency key, if the request has one.
         caller_key: Option<CallerKey>,
-        /// Whether the service allowed that locality in some version that the caller's node could hold.
+        /// Whether the service allows that locality in any version that the caller's node may have in force.
         locality_allowed: bool,
     },
-    /// A caller got the end of a request.
+    /// A request finished for its caller.
     Finished {
         /// The request.
         request: RequestKey,
-        /// What the caller was told.
+        /// Outcome for the caller.
         outcome: CallerOutcome,
     },
-    /// A node was told that its back end is leaving.
+    /// A node began to drain for a planned stop.
     DrainBegan {
         /// The node.
         node: NodeName,
     },
-    /// A process ended by itself at the end of a planned stop.
+    /// A process exited at the end of a planned stop.
     PlannedStopEnded {
         /// The node.
         node: NodeName,
     },
-    /// A fault hit a node: killed, cut off or frozen.
+    /// A fault hit a node or its back end: killed, cut off, frozen or slowed.
     FaultBegan {
         /// The node.
         node: NodeName,
     },
-    /// A node's process is running from here on.
+    /// A process of a node started.
     Started {
         /// The node.
         node: NodeName,
     },
-    /// A node's process is gone from here on.
+    /// A process of a node ended.
     Stopped {
         /// The node.
         node: NodeName,
     },
-    /// From here on some nodes can't reach some others.
+    /// A fault began that cuts links between nodes.
     LinksCut,
-    /// One such cut is over.
+    /// A fault that cuts links between nodes ended.
     LinksMended,
-    /// From here on some nodes may not reach the store, or not get its answers.
+    /// A fault began in which some nodes may not reach the store or not receive its responses.
     StoreImpaired,
-    /// One such impairment is over.
+    /// Such a fault of the store ended.
     StoreMended,
-    /// The last fault of the schedule is over.
+    /// The last fault of the schedule ended.
     FaultsEnded,
-    /// The run is over.
+    /// The run ended.
     RunEnded,
 }
 
-/// An event and the virtual time since the start of the run.
+/// An event with its virtual time.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recorded {
-    /// Virtual time since the start.
+    /// Virtual time since the start of the run.
     pub at: Millis,
-    /// What happened.
+    /// The event.
     pub event: Event,
 }
 
-/// The record of one run.
+/// The event history of one run.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct History {
     events: Vec<Recorded>,
 }
 
 impl History {
-    /// A history of events from several recorders, brought in the order of time; ties stay as they are.
+    /// Creates a history from events of several recorders. The sort by time is stable.
     #[must_use]
     pub fn from_recorded(mut events: Vec<Recorded>) -> Self {
         events.sort_by_key(|recorded| recorded.at);
         Self { events }
     }
 
-    /// Adds an event. Events are added in the order of time.
+    /// Appends an event. Events must be appended in the order of time.
     pub fn record(&mut self, at: Millis, event: Event) {
         self.events.push(Recorded { at, event });
     }
 
-    /// All events in order.
+    /// All events in the order of time.
     pub fn events(&self) -> impl Iterator<Item = &Recorded> {
         self.events.iter()
     }
 
-    /// BLAKE3 digest of the whole history; equal for equal runs.
+    /// BLAKE3 digest of all events; equal for equal runs.
     #[must_use]
     pub fn digest(&self) -> ContentHash {
         let mut hasher = blake3::Hasher::new();
--- a/testing/sim/src/main.rs
+++ b/testing/sim/src/main.rs
@@ -1,4 +1,4 @@
-//! `umberpond-sim`: invariants under faults, and replay of a seed.
+//! `umberpond-sim`: checks invariants under faults and replays single seeds.
 
 mod cli;
 
--- a/testing/sim/src/schedule.rs
+++ b/testing/sim/src/schedule.rs
@@ -1,4 +1,4 @@
-//! Fault schedules: made from a seed, shrunk to the shortest that still fails.
+//! Fault schedules, generated from a seed and shrunk to the shortest that still fails.
 
 use std::fmt;
 
@@ -6,52 +6,54 @@
 use serde::Serialize;
 use umberpond_model::Millis;
 
-/// Virtual time in which faults begin, counted from the end of the warm-up.
+/// Faults start within this time after the end of the warm-up.
 pub const FAULT_WINDOW: Millis = Millis(20_000);
-/// Most faults in one schedule.
+/// Largest number of faults in one schedule.
 const MAX_FAULTS: usize = 6;
-/// Shortest and longest time a fault lasts.
+/// Shortest duration of a fault.
 const MIN_DURATION: Millis = Millis(500);
+/// Upper bound of the duration of a fault.
 const MAX_DURATION: Millis = Millis(12_000);
-/// One fault in so many hits the place of the fault drawn before it, so that two meet on one node.
+/// On average, one fault in this many hits the same place as the fault generated before it, so that faults
+/// combine on one node.
 const SAME_PLACE_ONE_IN: usize = 3;
 
-/// What a fault does. Places are numbers that the cluster takes modulo its count of nodes or zones.
+/// Effect of a fault. Its place is taken modulo the number of nodes or zones of the cluster.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum FaultKind {
-    /// One process is killed and started anew, without memory, at the end of the fault.
+    /// One process is killed, and restarted with empty state at the end of the fault.
     Kill,
-    /// All processes of a zone are killed at once and started anew together.
+    /// All processes of a zone are killed at once and restarted together.
     HerdRestart,
-    /// A zone can reach neither other zones nor the platform.
+    /// A zone can reach neither the other zones nor the platform.
     CutZone,
-    /// Nothing goes in or out of one process; it goes on unaware.
+    /// One process keeps running, but all its traffic is blocked.
     Freeze,
-    /// The platform answers nothing.
+    /// The platform is unavailable.
     PlatformDown,
-    /// The platform answers late.
+    /// The platform responds late.
     PlatformSlow,
-    /// The platform carries out changes, and the answers are lost.
+    /// The platform applies changes, but some of its responses are lost.
     LoseAnswers,
     /// The platform ends all watches.
     EndWatches,
-    /// Several operators submit at once.
+    /// Several operators submit at the same time.
     OperatorRace,
-    /// Messages between two nodes cross: what is sent later over another stream comes first.
+    /// Messages of different streams between nodes arrive out of order.
     CrossedUpdates,
-    /// One node is told to leave, and is started anew at the end of the fault.
+    /// One node drains and stops, and is restarted at the end of the fault.
     PlannedStop,
-    /// One back end dies in the middle of its work and is started anew at the end of the fault.
+    /// One back end is killed with requests in flight, and restarted at the end of the fault.
     BackEndDeath,
-    /// One back end answers late.
+    /// One back end responds late.
     SlowBackEnd,
-    /// The platform is slow, carries out changes late, and the answers are lost.
+    /// The platform applies changes late, and all its responses are lost.
     LateLostAnswers,
-    /// Every request to one node's inbound listener arrives a second time, late.
+    /// Every request to one node's inbound listener arrives a second time after a delay.
     DoubledRequests,
-    /// A zone falls behind while it is cut off. Then the next zone restarts without memory and reaches only the
-    /// zone that is behind: neither knows the newest version.
+    /// A zone misses versions while it is cut off. Then the next zone restarts with empty state and reaches
+    /// only the stale zone, so that neither knows the newest version.
     StaleZone,
 }
 
@@ -76,7 +78,7 @@
         Self::StaleZone,
     ];
 
-    /// Whether some nodes may not reach the store meanwhile, or not get its answers.
+    /// Whether some nodes may not reach the store or not receive its responses during the fault.
     #[must_use]
     pub const fn impairs_store(self) -> bool {
         matches!(
@@ -91,13 +93,13 @@
         )
     }
 
-    /// Whether some nodes can't reach some others meanwhile.
+    /// Whether some nodes can't reach others during the fault.
     #[must_use]
     pub const fn cuts_links(self) -> bool {
         matches!(self, Self::CutZone | Self::StaleZone)
     }
 
-    /// Name on the command line and in reports.
+    /// Name used on the command line and in reports.
     #[must_use]
     pub const fn name(self) -> &'static str {
         match self {
@@ -127,21 +129,21 @@
     }
 }
 
-/// One fault.
+/// A scheduled fault.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 pub struct Fault {
-    /// When it begins, counted from the end of the warm-up.
+    /// Start time, counted from the end of the warm-up.
     pub at: Millis,
-    /// What it does.
+    /// Effect of the fault.
     pub kind: FaultKind,
-    /// How long it lasts.
+    /// Duration of the fault.
     pub duration: Millis,
-    /// Which node, zone or link it hits.
+    /// Selects the node, zone or link that the fault hits.
     pub place: usize,
 }
 
 impl Fault {
-    fn draw(generator: &mut Gen, kinds: &[FaultKind]) -> Self {
+    fn generate(generator: &mut Gen, kinds: &[FaultKind]) -> Self {
         let kind = *generator.choose(kinds).unwrap_or(&FaultKind::Kill);
         let span = MAX_DURATION.0 - MIN_DURATION.0;
         Self {
@@ -153,7 +155,7 @@
     }
 }
 
-/// The faults of one run, in order of their begin.
+/// The faults of one run, ordered by start time.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Schedule {
     /// The faults.
@@ -161,17 +163,17 @@
 }
 
 impl Schedule {
-    /// The schedule that `seed` names, with faults of `kinds` only.
+    /// Generates the schedule of `seed`, with faults of `kinds` only.
     #[must_use]
     pub fn from_seed(seed: u64, kinds: &[FaultKind]) -> Self {
         let mut generator = Gen::from_size_and_seed(MAX_FAULTS, seed);
         let count = 1 + usize::arbitrary(&mut generator) % MAX_FAULTS;
         let mut faults: Vec<Fault> = Vec::with_capacity(count);
         for _ in 0..count {
-            let mut fault = Fault::draw(&mut generator, kinds);
-            let meets_former = usize::arbitrary(&mut generator) % SAME_PLACE_ONE_IN == 0;
-            if let Some(former) = faults.last().filter(|_| meets_former) {
-                fault.place = former.place;
+            let mut fault = Fault::generate(&mut generator, kinds);
+            let reuses_place = usize::arbitrary(&mut generator) % SAME_PLACE_ONE_IN == 0;
+            if let Some(previous) = faults.last().filter(|_| reuses_place) {
+                fault.place = previous.place;
             }
             faults.push(fault);
         }
@@ -179,13 +181,13 @@
         Self { faults }
     }
 
-    /// When the last fault is over, counted from the end of the warm-up.
+    /// End of the last fault, counted from the end of the warm-up.
     #[must_use]
     pub fn end(&self) -> Millis {
         self.faults.iter().map(|fault| Millis(fault.at.0 + fault.duration.0)).max().unwrap_or_default()
     }
 
-    /// Schedules that are simpler: one fault less, or one fault shorter.
+    /// Candidates for shrinking: schedules with one fault removed, or with the duration of one fault halved.
     pub fn simpler(&self) -> impl Iterator<Item = Self> + '_ {
         let without_one = (0..self.faults.len()).map(|index| {
             let mut faults = self.faults.clone();
@@ -202,7 +204,7 @@
         without_one.chain(with_one_shorter)
     }
 
-    /// The simplest schedule reached from this one by steps of [`Schedule::simpler`] that still fails.
+    /// Shrinks the schedule by steps of [`Schedule::simpler`] until no simpler candidate fails.
     #[must_use]
     pub fn shrink(self, still_fails: impl Fn(&Self) -> bool) -> Self {
         let mut current = self;
--- a/testing/sim/tests/checkers.rs
+++ b/testing/sim/tests/checkers.rs
@@ -1,4 +1,4 @@
-//! Each checker must report a history that breaks its invariant, and pass the history that differs only there.
+//! Each checker reports a history that violates its invariant, and accepts a similar history that doesn't.
 
 use umberpond_model::{ContentHash, Locality, Millis, NodeName, ServiceName, SubmissionId, Version};
 use umberpond_sim::checkers::Invariant;
@@ -53,22 +53,22 @@
 const GOOD: CallerOutcome = CallerOutcome::Answered { whole: true, own: true };
 
 #[track_caller]
-fn assert_only_breaks(invariant: Invariant, good: Vec<(u64, Event)>, bad: Vec<(u64, Event)>) {
-    assert_eq!(invariant.check(&history(good)), Vec::new(), "{invariant} reports a good history");
-    assert!(!invariant.check(&history(bad)).is_empty(), "{invariant} misses a broken history");
+fn assert_detects_violation(invariant: Invariant, good: Vec<(u64, Event)>, bad: Vec<(u64, Event)>) {
+    assert_eq!(invariant.check(&history(good)), Vec::new(), "{invariant} reports a valid history");
+    assert!(!invariant.check(&history(bad)).is_empty(), "{invariant} accepts a history that violates it");
 }
 
 #[test]
-fn a_restart_into_an_older_version_is_reported() {
+fn a_restart_with_an_older_version_is_reported() {
     let start = [(0, accepted(1)), (1, accepted(2)), (2, activated(2))];
     let restarted = [(3, Event::Stopped { node: node() }), (4, Event::Started { node: node() })];
     let with =
         |version| start.iter().cloned().chain(restarted.clone()).chain([(5, activated(version))]).collect();
-    assert_only_breaks(Invariant::NeverBack, with(2), with(1));
+    assert_detects_violation(Invariant::NeverBack, with(2), with(1));
 }
 
 #[test]
-fn a_step_back_is_excused_only_by_a_restart_while_the_store_may_be_out_of_reach() {
+fn an_older_version_is_accepted_only_after_a_restart_while_the_store_may_be_unreachable() {
     let start = [(0, accepted(1)), (1, accepted(2)), (2, activated(2))];
     let with = |between: Vec<Event>| {
         let between = between.into_iter().map(|event| (3, event));
@@ -76,12 +76,12 @@
     };
     let restart = || [Event::Stopped { node: node() }, Event::Started { node: node() }];
     let impaired = || [vec![Event::StoreImpaired], restart().into()].concat();
-    let in_one_life = vec![Event::StoreImpaired];
-    assert_only_breaks(Invariant::NeverBack, with(impaired()), with(in_one_life));
+    let in_one_process = vec![Event::StoreImpaired];
+    assert_detects_violation(Invariant::NeverBack, with(impaired()), with(in_one_process));
     let mended = [vec![Event::StoreImpaired, Event::StoreMended], restart().into()].concat();
-    assert_only_breaks(Invariant::NeverBack, with(impaired()), with(mended));
+    assert_detects_violation(Invariant::NeverBack, with(impaired()), with(mended));
     let twice = [impaired(), vec![activated(2)]].concat();
-    assert_only_breaks(Invariant::NeverBack, with(impaired()), with(twice));
+    assert_detects_violation(Invariant::NeverBack, with(impaired()), with(twice));
 }
 
 #[test]
@@ -90,59 +90,59 @@
     if let Event::Activated { dangling_references, .. } = &mut bad {
         *dangling_references = 1;
     }
-    assert_only_breaks(Invariant::NoDanglingReference, vec![(0, activated(1))], vec![(0, bad)]);
+    assert_detects_violation(Invariant::NoDanglingReference, vec![(0, activated(1))], vec![(0, bad)]);
 }
 
 #[test]
-fn a_part_of_a_version_is_reported() {
+fn a_partly_applied_version_is_reported() {
     let mut bad = activated(1);
     if let Event::Activated { snapshot, .. } = &mut bad {
         *snapshot = ContentHash::of(b"half of it");
     }
     let good = vec![(0, accepted(1)), (1, activated(1))];
-    assert_only_breaks(Invariant::NeverAppliedInPart, good, vec![(0, accepted(1)), (1, bad)]);
+    assert_detects_violation(Invariant::NeverAppliedInPart, good, vec![(0, accepted(1)), (1, bad)]);
 }
 
 #[test]
-fn a_version_that_was_never_accepted_and_a_doubled_submission_are_reported() {
+fn an_unaccepted_version_and_a_duplicate_submission_are_reported() {
     let good = vec![(0, accepted(1)), (1, activated(1))];
-    assert_only_breaks(
+    assert_detects_violation(
         Invariant::NeverAppliedInPart,
         good.clone(),
         vec![(0, accepted(1)), (1, activated(2))],
     );
-    let doubled = Event::Accepted { version: Version(2), submission: SubmissionId(1) };
-    assert_only_breaks(Invariant::NeverAppliedInPart, good, vec![(0, accepted(1)), (1, doubled)]);
+    let duplicated = Event::Accepted { version: Version(2), submission: SubmissionId(1) };
+    assert_detects_violation(Invariant::NeverAppliedInPart, good, vec![(0, accepted(1)), (1, duplicated)]);
 }
 
 #[test]
-fn a_truncated_a_foreign_and_a_missing_answer_are_reported() {
+fn a_truncated_a_wrong_and_a_missing_response_are_reported() {
     let good = vec![(0, sent(false)), (1, executed(true)), (2, finished(GOOD))];
     for outcome in [
         CallerOutcome::Answered { whole: false, own: true },
         CallerOutcome::Answered { whole: true, own: false },
     ] {
         let bad = vec![(0, sent(false)), (1, executed(true)), (2, finished(outcome))];
-        assert_only_breaks(Invariant::WholeOwnAnswer, good.clone(), bad);
+        assert_detects_violation(Invariant::WholeOwnAnswer, good.clone(), bad);
     }
-    assert_only_breaks(Invariant::WholeOwnAnswer, good, vec![(0, sent(false)), (1, executed(true))]);
+    assert_detects_violation(Invariant::WholeOwnAnswer, good, vec![(0, sent(false)), (1, executed(true))]);
 }
 
 #[test]
-fn a_request_that_ran_after_its_refusal_is_reported() {
+fn a_run_of_a_rejected_request_is_reported() {
     let good = vec![(0, sent(false)), (1, finished(CallerOutcome::Rejected))];
     let bad = vec![(0, sent(false)), (1, finished(CallerOutcome::Rejected)), (2, executed(true))];
-    assert_only_breaks(Invariant::RejectedDidNotRun, good, bad);
+    assert_detects_violation(Invariant::RejectedDidNotRun, good, bad);
 }
 
 #[test]
 fn a_second_run_is_reported_unless_the_request_is_idempotent() {
     let runs = |idempotent| vec![(0, sent(idempotent)), (1, executed(true)), (2, executed(true))];
-    assert_only_breaks(Invariant::AtMostOnce, runs(true), runs(false));
+    assert_detects_violation(Invariant::AtMostOnce, runs(true), runs(false));
 }
 
 #[test]
-fn a_second_run_of_a_caller_key_in_one_process_is_reported() {
+fn a_second_run_of_an_idempotency_key_in_one_process_is_reported() {
     let keyed = |number| {
         let mut run = executed(true);
         if let Event::Executed { request, caller_key, .. } = &mut run {
@@ -153,26 +153,26 @@
     };
     let restarted = Event::Started { node: node() };
     let good = vec![(0, keyed(1)), (1, restarted), (2, keyed(2))];
-    assert_only_breaks(Invariant::AtMostOnce, good, vec![(0, keyed(1)), (2, keyed(2))]);
+    assert_detects_violation(Invariant::AtMostOnce, good, vec![(0, keyed(1)), (2, keyed(2))]);
 }
 
 #[test]
 fn a_request_refused_long_after_the_last_fault_is_reported() {
     let with =
         |at| vec![(0, Event::FaultsEnded), (at, sent(true)), (at + 1, finished(CallerOutcome::Rejected))];
-    assert_only_breaks(Invariant::ServingAfterFaults, with(10_000), with(10_001));
+    assert_detects_violation(Invariant::ServingAfterFaults, with(10_000), with(10_001));
     let answered = vec![(0, Event::FaultsEnded), (10_001, sent(true)), (10_002, finished(GOOD))];
-    assert_only_breaks(Invariant::ServingAfterFaults, answered, with(10_001));
+    assert_detects_violation(Invariant::ServingAfterFaults, answered, with(10_001));
 }
 
 #[test]
-fn new_work_for_a_leaving_back_end_is_reported() {
+fn a_new_request_to_a_draining_back_end_is_reported() {
     let with = |at| vec![(0, Event::DrainBegan { node: node() }), (at, executed(true))];
-    assert_only_breaks(Invariant::LeavingGetsNoNewWork, with(2_000), with(2_001));
+    assert_detects_violation(Invariant::LeavingGetsNoNewWork, with(2_000), with(2_001));
 }
 
 #[test]
-fn a_request_cut_by_a_planned_stop_is_reported() {
+fn a_request_interrupted_by_a_planned_stop_is_reported() {
     let with = |outcome| {
         vec![
             (0, sent(false)),
@@ -181,12 +181,12 @@
             (3, finished(outcome)),
         ]
     };
-    assert_only_breaks(Invariant::PlannedStopCutsNothing, with(GOOD), with(CallerOutcome::Cut));
-    assert_only_breaks(Invariant::PlannedStopCutsNothing, with(GOOD), with(CallerOutcome::Unknown));
+    assert_detects_violation(Invariant::PlannedStopCutsNothing, with(GOOD), with(CallerOutcome::Cut));
+    assert_detects_violation(Invariant::PlannedStopCutsNothing, with(GOOD), with(CallerOutcome::Unknown));
 }
 
 #[test]
-fn a_request_that_met_a_cut_link_is_not_the_fault_of_a_planned_stop() {
+fn an_interrupted_request_is_not_blamed_on_a_planned_stop_if_links_were_cut() {
     let with = |cut_at, mended_at| {
         vec![
             (cut_at, Event::LinksCut),
@@ -201,8 +201,8 @@
         events.sort_by_key(|(at, _)| *at);
         events
     };
-    assert_only_breaks(Invariant::PlannedStopCutsNothing, sorted(with(13, 14)), sorted(with(1, 2)));
-    assert_only_breaks(Invariant::PlannedStopCutsNothing, sorted(with(1, 15)), sorted(with(21, 22)));
+    assert_detects_violation(Invariant::PlannedStopCutsNothing, sorted(with(13, 14)), sorted(with(1, 2)));
+    assert_detects_violation(Invariant::PlannedStopCutsNothing, sorted(with(1, 15)), sorted(with(21, 22)));
 }
 
 #[test]
@@ -216,38 +216,46 @@
             (30_000, Event::RunEnded),
         ]
     };
-    assert_only_breaks(Invariant::InForceWithinSeconds, with(10_002), with(10_003));
+    assert_detects_violation(Invariant::InForceWithinSeconds, with(10_002), with(10_003));
     let mut never = with(3);
     never.remove(3);
-    assert_only_breaks(Invariant::InForceWithinSeconds, with(3), never);
+    assert_detects_violation(Invariant::InForceWithinSeconds, with(3), never);
 }
 
 #[test]
 fn a_disallowed_locality_is_reported() {
-    assert_only_breaks(Invariant::AllowedLocalityOnly, vec![(0, executed(true))], vec![(0, executed(false))]);
+    assert_detects_violation(
+        Invariant::AllowedLocalityOnly,
+        vec![(0, executed(true))],
+        vec![(0, executed(false))],
+    );
 }
 
 #[test]
-fn an_operator_who_was_told_wrong_is_reported() {
-    let told = |claim| Event::SubmissionTold { submission: SubmissionId(1), claim };
-    let with = |claim| vec![(0, accepted(1)), (1, told(claim))];
+fn a_wrong_submission_result_is_reported() {
+    let reported = |claim| Event::SubmissionTold { submission: SubmissionId(1), claim };
+    let with = |claim| vec![(0, accepted(1)), (1, reported(claim))];
     let good = with(SubmissionClaim::Accepted(Version(1)));
-    assert_only_breaks(Invariant::SubmissionToldTrue, good.clone(), with(SubmissionClaim::NotAccepted));
-    assert_only_breaks(Invariant::SubmissionToldTrue, good, with(SubmissionClaim::Accepted(Version(2))));
-    let lost = vec![(0, told(SubmissionClaim::Accepted(Version(1))))];
-    assert_only_breaks(Invariant::SubmissionToldTrue, with(SubmissionClaim::Unknown), lost);
+    assert_detects_violation(Invariant::SubmissionToldTrue, good.clone(), with(SubmissionClaim::NotAccepted));
+    assert_detects_violation(
+        Invariant::SubmissionToldTrue,
+        good,
+        with(SubmissionClaim::Accepted(Version(2))),
+    );
+    let lost = vec![(0, reported(SubmissionClaim::Accepted(Version(1))))];
+    assert_detects_violation(Invariant::SubmissionToldTrue, with(SubmissionClaim::Unknown), lost);
 }
 
 #[test]
-fn the_digest_tells_histories_apart() {
+fn different_histories_have_different_digests() {
     let first = history(vec![(0, accepted(1))]);
     assert_eq!(first.digest(), history(vec![(0, accepted(1))]).digest());
     assert_ne!(first.digest(), history(vec![(1, accepted(1))]).digest());
 }
 
 #[test]
-fn repeats_beyond_the_retry_budget_are_reported() {
-    // 100 requests allow 10 and the extra 10.
+fn retries_beyond_the_retry_budget_are_reported() {
+    // The default budget allows 10 retries for 100 requests, and 10 extra ones.
     let with = |repeats: u64| {
         let request = |number: u64| Event::Sent {
             request: RequestKey(number),
@@ -268,14 +276,14 @@
         };
         let sent = (0..100).map(|number| (number, request(number)));
         let first = (0..100).map(|number| (200 + number, run(number, "billing-1")));
-        let again = (0..repeats).map(|number| (400 + number, run(number, "billing-2")));
-        sent.chain(first).chain(again).collect()
+        let retries = (0..repeats).map(|number| (400 + number, run(number, "billing-2")));
+        sent.chain(first).chain(retries).collect()
     };
-    assert_only_breaks(Invariant::RetryBudgetKept, with(20), with(21));
-    let doubled = with(20).into_iter().chain(with(20)).collect();
+    assert_detects_violation(Invariant::RetryBudgetKept, with(20), with(21));
+    let duplicated = with(20).into_iter().chain(with(20)).collect();
     assert_eq!(
-        Invariant::RetryBudgetKept.check(&history(doubled)),
+        Invariant::RetryBudgetKept.check(&history(duplicated)),
         Vec::new(),
-        "the network has doubled them"
+        "second runs on the same node come from the network, not from retries"
     );
 }
--- a/testing/sim/tests/determinism.rs
+++ b/testing/sim/tests/determinism.rs
@@ -1,13 +1,14 @@
-//! The same seed gives the same digest: twice in one process, and in two other processes.
+//! A run is reproducible from its seed: equal digests twice in one process and in two other processes.
 
 use std::process::Command;
 
 use umberpond_sim::cluster::{RunOptions, run};
 use umberpond_sim::schedule::{FaultKind, Schedule};
 
-/// A seed whose schedule holds several kinds of fault.
+/// A seed whose schedule has several kinds of fault.
 const SEED: u64 = 3;
-/// A seed run with herd restarts only: whole zones start at one moment, which wakes most tasks at once.
+/// A seed that is run with herd restarts only: whole zones start at the same time, which wakes the most tasks
+/// at once.
 const HERD_SEED: u64 = 1;
 
 fn digest_here(seed: u64, kinds: &[FaultKind]) -> String {
@@ -20,7 +21,7 @@
     let output = Command::new(env!("CARGO_BIN_EXE_umberpond-sim"))
         .args(["replay", "--seed", &seed.to_string(), "--fault", &names.join(",")])
         .output()
-        .expect("the program of this package runs");
+        .expect("the program of this package can be run");
     let text = String::from_utf8_lossy(&output.stdout);
     let last = text.lines().last().unwrap_or_default();
     last.rsplit(' ').next().unwrap_or_default().to_owned()
--- a/testing/sim/tests/invariants.rs
+++ b/testing/sim/tests/invariants.rs
@@ -1,4 +1,5 @@
-//! A fixed set of seeds, the same on every machine: no invariant breaks, and the runs are not empty.
+//! No invariant is violated over a fixed set of seeds, and a run without faults does enough work to be
+//! meaningful.
 
 use std::collections::BTreeSet;
 use std::num::NonZero;
@@ -9,9 +10,9 @@
 use umberpond_sim::history::{CallerOutcome, Event, RequestKey};
 use umberpond_sim::schedule::{FaultKind, Schedule};
 
-/// Seeds run with all kinds of fault mixed.
+/// Seeds that are run with all kinds of fault.
 const MIXED_SEEDS: std::ops::Range<u64> = 0..24;
-/// Seeds run for each kind of fault alone.
+/// Seeds that are run with each kind of fault alone.
 const SEEDS_FOR_EACH_KIND: std::ops::Range<u64> = 0..3;
 
 fn run_seed(seed: u64, kinds: &[FaultKind]) -> RunReport {
@@ -25,7 +26,7 @@
     assert!(violations.is_empty(), "seed {seed}, faults {kinds:?}: {violations:#?}");
 }
 
-/// Runs all cases, several at a time. Each run has a runtime of its own, so the verdicts don't depend on that.
+/// Runs all cases on several threads. Each run has its own runtime, so parallel runs don't affect each other.
 fn assert_all_hold(cases: &[(u64, &[FaultKind])]) {
     let next = AtomicUsize::new(0);
     let threads = thread::available_parallelism().map_or(1, NonZero::get);
@@ -45,23 +46,23 @@
 }
 
 #[test]
-fn mixed_faults_break_no_invariant() {
+fn mixed_faults_violate_no_invariant() {
     let cases: Vec<(u64, &[FaultKind])> = MIXED_SEEDS.map(|seed| (seed, &FaultKind::ALL[..])).collect();
     assert_all_hold(&cases);
 }
 
 #[test]
-fn each_kind_of_fault_alone_breaks_no_invariant() {
+fn each_kind_of_fault_alone_violates_no_invariant() {
     let alone = |kind| SEEDS_FOR_EACH_KIND.map(move |seed| (seed, std::slice::from_ref(kind)));
     let cases: Vec<(u64, &[FaultKind])> = FaultKind::ALL.iter().flat_map(alone).collect();
     assert_all_hold(&cases);
 }
 
 #[test]
-fn a_run_without_faults_answers_nearly_everything_and_brings_versions_in_force() {
+fn a_run_without_faults_answers_nearly_all_requests_and_activates_versions() {
     let report = run(&RunOptions { seed: 1, schedule: Schedule::default() });
     assert!(report.violations.is_empty(), "{:?}", report.violations);
-    let first_ones: BTreeSet<RequestKey> = report
+    let first_requests: BTreeSet<RequestKey> = report
         .history
         .events()
         .filter_map(|recorded| match &recorded.event {
@@ -69,14 +70,14 @@
             _ => None,
         })
         .collect();
-    let sent = first_ones.len();
+    let sent = first_requests.len();
     let good = CallerOutcome::Answered { whole: true, own: true };
     let answered = count(&report, |event| match event {
-        Event::Finished { request, outcome } => *outcome == good && first_ones.contains(request),
+        Event::Finished { request, outcome } => *outcome == good && first_requests.contains(request),
         _ => false,
     });
     let activated = count(&report, |event| matches!(event, Event::Activated { .. }));
-    assert!(sent > 100, "{sent} requests are too few to prove anything");
+    assert!(sent > 100, "{sent} requests are too few for a meaningful run");
     assert!(answered * 100 >= sent * 99, "{answered} of {sent} requests were answered");
-    assert!(activated >= 40, "{activated} activations are too few to prove anything");
+    assert!(activated >= 40, "{activated} activations are too few for a meaningful run");
 }
